--- a/src/endpoints/endpoint-table.ts
+++ b/src/endpoints/endpoint-table.ts
@@ -1,10 +1,10 @@
 import type {Timers} from '../time/timers.js';
 import {emptyDigest, equalDigests, toggle} from './digest.js';
-import {digestKnown} from './known-digest.js';
+import {digestInstance} from './instance-digest.js';
 import type {Digest} from './digest.js';
 import {allowedExpiries, defaultExpiryShare} from './expiry-share.js';
 import type {EndpointView, KnownInstance, ServiceDigest} from './messages.js';
-import {compareAnnouncements} from './order.js';
+import {compareAnnouncements} from './announcement-order.js';
 import {allSafeguards} from './safeguards.js';
 import type {Safeguards} from './safeguards.js';
 
@@ -89,7 +89,7 @@
   function toggleEntry(entry: Entry): void {
     const group = groupOf(entry.known.service);
     if (!entry.absent) {
-      group.digest = toggle(group.digest, digestKnown(entry.known));
+      group.digest = toggle(group.digest, digestInstance(entry.known));
     }
     group.sorted = undefined;
     changed.add(entry.known.service);
--- a/src/endpoints/health.test.ts
+++ b/src/endpoints/health-monitor.test.ts
@@ -5,8 +5,8 @@
 import {createFakeTimers} from '../time/fakes/fake-timers.js';
 import {createAnnouncer} from './announcer.js';
 import {upstream} from './fakes/mesh.js';
-import {createHealth, createProbe} from './health.js';
-import type {Observation} from './health.js';
+import {createHealthMonitor, createProbe} from './health-monitor.js';
+import type {Observation} from './health-monitor.js';
 
 function start() {
   const timers = createFakeTimers(1_000_000);
@@ -20,7 +20,7 @@
     warmUp: 0,
   });
   let seen: Observation = 'well';
-  const health = createHealth({timers, announcer, probe: async () => seen});
+  const health = createHealthMonitor({timers, announcer, probe: async () => seen});
   announcer.announce(upstream());
   timers.advance(1);
   return {
--- a/src/endpoints/known-digest.ts
+++ b/src/endpoints/instance-digest.ts
@@ -3,7 +3,7 @@
 import type {KnownInstance} from './messages.js';
 
 /** The digest of an instance as nodes see it; gone instances have none. */
-export function digestKnown(known: KnownInstance): Digest {
+export function digestInstance(known: KnownInstance): Digest {
   if (known.state === 'gone') return emptyDigest;
   const {instance, incarnation, sequence, gate} = known;
   const suspect = known.suspect === true ? 's' : '';
--- a/src/endpoints/leases.test.ts
+++ b/src/endpoints/leases.test.ts
@@ -137,7 +137,7 @@
 
 /** One link of the mesh is cut; both its homes and their nodes are well. */
 async function lostLink(vouching: boolean): Promise<number> {
-  const mesh = createFakeMesh(0, {safeguards: {vouching}});
+  const mesh = createFakeMesh(0, {safeguards: {indirectReachability: vouching}});
   await mesh.home('home-a');
   await mesh.home('home-b');
   await mesh.home('home-c');
@@ -280,7 +280,7 @@
 
 /** A home judges a contest over an instance whose holder it cannot reach. */
 async function unreachableHolder(vouching: boolean): Promise<number> {
-  const mesh = createFakeMesh(0, {safeguards: {vouching}});
+  const mesh = createFakeMesh(0, {safeguards: {indirectReachability: vouching}});
   for (const name of ['home-a', 'home-b', 'home-c']) await mesh.home(name);
   mesh.network.cut('home-a', 'home-b');
   mesh.network.cut('home-b', 'home-a');
--- a/src/endpoints/leases.ts
+++ b/src/endpoints/leases.ts
@@ -2,8 +2,8 @@
 import type {Timers} from '../time/timers.js';
 import {allowedExpiries, defaultExpiryShare} from './expiry-share.js';
 import type {EndpointRecord} from './messages.js';
-import type {Peers, Report} from './peers.js';
-import type {Entry, RecordStore} from './record-store.js';
+import type {PeerHomes, UnreachableReport} from './peer-homes.js';
+import type {RecordEntry, RecordStore} from './record-store.js';
 import type {Safeguards} from './safeguards.js';
 
 /** Settings of a home's leases; times in milliseconds. */
@@ -13,13 +13,13 @@
   readonly timers: Timers;
   readonly log: Log;
   readonly store: RecordStore;
-  readonly peers: Peers;
+  readonly peers: PeerHomes;
   readonly lease: number;
-  readonly closedLease: number;
+  readonly closedLinkLease: number;
   readonly orphanLease: number;
   readonly expiryShare?: number;
   readonly expiryWindow?: number;
-  readonly witnesses?: number;
+  readonly requiredWitnesses?: number;
   readonly contestLease: number;
   readonly safeguards: Safeguards;
 }
@@ -29,9 +29,9 @@
   /** Renews the lease of an instance that this home holds. */
   renew(instance: string): void;
   /** Shortens the lease of an instance whose node's link has closed. */
-  closed(instance: string): void;
+  onLinkClosed(instance: string): void;
   /** Counts a node's evidence against an instance that is held back. */
-  witness(report: Report): void;
+  witness(report: UnreachableReport): void;
   /**
    * Another process claims the instance's id or gate: unless its node renews
    * within the contest's lease it is gone, however many others are due.
@@ -53,21 +53,21 @@
   const {name, region, timers, store, peers} = options;
   const share = options.expiryShare ?? defaultExpiryShare;
   const window = options.expiryWindow ?? defaultExpiryWindow;
-  const witnesses = options.witnesses ?? defaultWitnesses;
+  const witnesses = options.requiredWitnesses ?? defaultWitnesses;
   const until = new Map<string, number>();
   const reports = new Map<string, Map<string, number>>();
   /** When the lease of a contested instance ends. */
   const contested = new Map<string, number>();
 
   /** Whether an instance has run out, by what this home can know. */
-  function isDue(entry: Entry): boolean {
+  function isDue(entry: RecordEntry): boolean {
     const {instance} = entry.announcement;
     if (entry.home === name) return isOwnDue(instance);
     if (peers.linked(entry.home)) {
       contested.delete(instance);
       return false;
     }
-    const absence = peers.absence(entry.home);
+    const absence = peers.unreachableFor(entry.home);
     if (isContestOver(instance)) return absence >= options.contestLease;
     return absence >= options.orphanLease;
   }
@@ -88,7 +88,7 @@
    * Another region's instances are that region's to declare gone. While it is
    * cut off they are only suspects here, so the merge takes none away.
    */
-  const mayExpire = (entry: Entry) =>
+  const mayExpire = (entry: RecordEntry) =>
     entry.homeRegion === region || !options.safeguards.region;
 
   function isContestOver(instance: string): boolean {
@@ -96,7 +96,7 @@
     return end !== undefined && end <= timers.now();
   }
 
-  const isHeldElsewhere = (entry: Entry) =>
+  const isHeldElsewhere = (entry: RecordEntry) =>
     entry.home !== name && peers.linked(entry.home);
 
   function contest(instance: string): void {
@@ -110,16 +110,16 @@
   }
 
   /** One process binds an address, so of two instances at a gate one is dead. */
-  function contestGate(entry: Entry): void {
+  function contestGate(entry: RecordEntry): void {
     if (entry.goneAt !== undefined) return;
-    const rivals = store.atGate(entry.announcement.gate);
+    const rivals = store.liveAtGate(entry.announcement.gate);
     if (rivals.length < 2) return;
     for (const rival of rivals) {
       if (!isHeldElsewhere(rival)) contest(rival.announcement.instance);
     }
   }
 
-  function expire(entry: Entry): void {
+  function expire(entry: RecordEntry): void {
     const {announcement} = entry;
     const record: EndpointRecord = {
       announcement: {...announcement, state: 'gone'},
@@ -138,7 +138,7 @@
     if (store.merge(record)) peers.push([record]);
   }
 
-  function recentlyExpired(entries: Iterable<Entry>): number {
+  function recentlyExpired(entries: Iterable<RecordEntry>): number {
     const since = timers.now() - window;
     let count = 0;
     for (const entry of entries) {
@@ -148,7 +148,7 @@
     return count;
   }
 
-  function countLive(entries: Iterable<Entry>): number {
+  function countLive(entries: Iterable<RecordEntry>): number {
     let count = 0;
     for (const entry of entries) {
       if (entry.goneAt === undefined && mayExpire(entry)) count++;
@@ -175,8 +175,8 @@
     return due + recent > Math.max(smallHerd, allowed);
   }
 
-  function collectDue(): Entry[] {
-    const due: Entry[] = [];
+  function collectDue(): RecordEntry[] {
+    const due: RecordEntry[] = [];
     for (const entry of store.entries()) {
       if (entry.goneAt !== undefined) continue;
       if (isDue(entry)) due.push(entry);
@@ -186,7 +186,7 @@
   }
 
   function sweep(): void {
-    const doubtful: Entry[] = [];
+    const doubtful: RecordEntry[] = [];
     for (const entry of collectDue()) {
       if (!mayExpire(entry)) suspect(entry);
       else if (isProved(entry)) expire(entry);
@@ -197,7 +197,7 @@
   }
 
   /** Expires what is due, service by service, or holds it back as suspect. */
-  function settle(doubtful: readonly Entry[]): void {
+  function settle(doubtful: readonly RecordEntry[]): void {
     const counts = new Map<string, number>();
     for (const {announcement} of doubtful) {
       const {service} = announcement;
@@ -214,16 +214,16 @@
     }
   }
 
-  const suspect = (entry: Entry) =>
+  const suspect = (entry: RecordEntry) =>
     store.setSuspect(entry.announcement.instance, true);
 
   /** Whether more than lost renewals speak against an instance that is due. */
-  function isProved(entry: Entry): boolean {
+  function isProved(entry: RecordEntry): boolean {
     const {instance} = entry.announcement;
     return isContestOver(instance) || isWitnessed(entry);
   }
 
-  function isWitnessed(entry: Entry): boolean {
+  function isWitnessed(entry: RecordEntry): boolean {
     const heard = reports.get(entry.announcement.instance);
     return heard !== undefined && heard.size >= witnesses;
   }
@@ -236,7 +236,7 @@
     }
   }
 
-  function witness(report: Report): void {
+  function witness(report: UnreachableReport): void {
     const entry = store.get(report.instance);
     if (entry === undefined || entry.goneAt !== undefined) return;
     if (entry.announcement.incarnation !== report.incarnation) return;
@@ -273,7 +273,7 @@
       contested.delete(instance);
       store.setSuspect(instance, false);
     },
-    closed: instance => shorten(instance, options.closedLease),
+    onLinkClosed: instance => shorten(instance, options.closedLinkLease),
     witness,
     contest,
     sweep,
--- a/src/endpoints/lifecycle.ts
+++ b/src/endpoints/lifecycle.ts
@@ -8,7 +8,7 @@
 export interface Lifecycle {
   state(): InstanceState;
   /** Takes an event; false when it means nothing in this state. */
-  take(event: LifecycleEvent): boolean;
+  apply(event: LifecycleEvent): boolean;
 }
 
 const machine = createMachine('warming', {
@@ -28,7 +28,7 @@
   const current = () => service.machine.current as InstanceState;
   return {
     state: current,
-    take(event) {
+    apply(event) {
       const before = current();
       service.send(event);
       return current() !== before;
--- a/src/endpoints/membership.ts
+++ b/src/endpoints/membership.ts
@@ -9,7 +9,7 @@
   KnownInstance,
   NodeMessage,
 } from './messages.js';
-import {turnSince} from './transit.js';
+import {convertSince} from './since-conversion.js';
 
 /** Settings of a node's part in membership. */
 export interface MembershipOptions {
@@ -73,7 +73,7 @@
   function receive(message: HomeMessage): void {
     switch (message.kind) {
       case 'refuted':
-        return announcer.rise(received(message.known));
+        return announcer.supersede(received(message.known));
       case 'announce-again':
         return announceAgain();
       case 'section':
@@ -100,11 +100,11 @@
   function sendAnnouncement(announcement: Announcement): void {
     send({
       kind: 'announce',
-      announcement: turnSince(announcement, timers.wall()),
+      announcement: convertSince(announcement, timers.wall()),
     });
   }
 
-  const received = (known: KnownInstance) => turnSince(known, timers.wall());
+  const received = (known: KnownInstance) => convertSince(known, timers.wall());
 
   function tick(): void {
     renew();
--- a/src/endpoints/messages.ts
+++ b/src/endpoints/messages.ts
@@ -2,7 +2,7 @@
 import type {Digest} from './digest.js';
 
 /** One life of a node that can hold claims; see src/claims. */
-export interface KeeperOffer {
+export interface KeeperEndpoint {
   /** Where it takes keeper messages. */
   readonly address: Address;
   /** Differs at each start of the node's process, whose memory it names. */
@@ -41,7 +41,7 @@
    */
   readonly since: number;
   /** Absent when its node holds no claims. */
-  readonly keeper?: KeeperOffer;
+  readonly keeper?: KeeperEndpoint;
 }
 
 /** An announcement as a home passes it on to nodes. */
--- a/src/endpoints/node-sessions.ts
+++ b/src/endpoints/node-sessions.ts
@@ -4,12 +4,12 @@
 import {endpointCodes} from './codes.js';
 import type {Leases} from './leases.js';
 import type {Announcement, HomeMessage, NodeMessage} from './messages.js';
-import {compareAnnouncements} from './order.js';
-import type {Peers} from './peers.js';
-import type {Entry, RecordStore} from './record-store.js';
+import {compareAnnouncements} from './announcement-order.js';
+import type {PeerHomes} from './peer-homes.js';
+import type {RecordEntry, RecordStore} from './record-store.js';
 import {createSubscriptions} from './subscriptions.js';
 import type {Subscriber} from './subscriptions.js';
-import {turnSince} from './transit.js';
+import {convertSince} from './since-conversion.js';
 
 /** Settings of a home's links to its nodes; times in milliseconds. */
 export interface NodeSessionsOptions {
@@ -18,12 +18,12 @@
   readonly timers: Timers;
   readonly log: Log;
   readonly store: RecordStore;
-  readonly peers: Peers;
+  readonly peers: PeerHomes;
   readonly leases: Leases;
   /** How long changes are gathered before they are sent. */
-  readonly window: number;
+  readonly deltaWindow: number;
   /** Silence after which a node's link is closed. */
-  readonly silence: number;
+  readonly silenceTimeout: number;
   /** When every live instance has had the time to be announced here. */
   readonly completeAt: number;
 }
@@ -52,7 +52,7 @@
   const subscriptions = createSubscriptions({
     timers,
     store,
-    window: options.window,
+    deltaWindow: options.deltaWindow,
     isComplete,
   });
 
@@ -60,7 +60,7 @@
     session.channel.send(message);
 
   function refute(session: Session, known: Announcement): void {
-    send(session, {kind: 'refuted', known: turnSince(known, timers.wall())});
+    send(session, {kind: 'refuted', known: convertSince(known, timers.wall())});
   }
 
   function announce(session: Session, announcement: Announcement): void {
@@ -82,7 +82,7 @@
   }
 
   /** Whether two processes claim one instance id. */
-  function isRival(announcement: Announcement, known: Entry): boolean {
+  function isRival(announcement: Announcement, known: RecordEntry): boolean {
     const {incarnation, gate} = known.announcement;
     if (known.goneAt !== undefined) return false;
     return (
@@ -158,7 +158,7 @@
    * Another home's record of an instance whose node is linked here: the node
    * alone may answer it, and does so by rising above it.
    */
-  function answerStranger(entry: Entry): void {
+  function answerStranger(entry: RecordEntry): void {
     const {instance} = entry.announcement;
     if (entry.home === name && !entry.expired) return;
     for (const session of sessions) {
@@ -173,7 +173,7 @@
       case 'announce':
         return announce(
           session,
-          turnSince(message.announcement, timers.wall()),
+          convertSince(message.announcement, timers.wall()),
         );
       case 'renew':
         return renew(session, message);
@@ -193,7 +193,7 @@
     session.subscriber.end();
     const {instance} = session;
     if (instance === undefined || isLinked(instance)) return;
-    leases.closed(instance);
+    leases.onLinkClosed(instance);
   }
 
   function isLinked(instance: string): boolean {
@@ -224,7 +224,7 @@
     sweep() {
       const now = timers.now();
       for (const session of [...sessions]) {
-        if (now - session.lastHeard < options.silence) continue;
+        if (now - session.lastHeard < options.silenceTimeout) continue;
         session.channels.link.close();
         remove(session);
       }
--- a/src/endpoints/peers.ts
+++ b/src/endpoints/peer-homes.ts
@@ -5,10 +5,10 @@
 import type {EndpointRecord, PeerMessage, RecordSummary} from './messages.js';
 import type {RecordStore} from './record-store.js';
 import type {Safeguards} from './safeguards.js';
-import {turnSince} from './transit.js';
+import {convertSince} from './since-conversion.js';
 
 /** A node's report that it cannot reach an instance. */
-export interface Report {
+export interface UnreachableReport {
   readonly instance: string;
   readonly incarnation: number;
   /** The node that reports. */
@@ -16,19 +16,19 @@
 }
 
 /** Settings of a home's links to the others. */
-export interface PeersOptions {
+export interface PeerHomesOptions {
   readonly name: string;
   readonly timers: Timers;
   readonly store: RecordStore;
   /** Milliseconds of silence after which a home counts as cut off. */
   readonly timeout: number;
   readonly safeguards: Safeguards;
-  readonly onUnreachable: (report: Report) => void;
+  readonly onUnreachable: (report: UnreachableReport) => void;
   readonly onContest: (instance: string) => void;
 }
 
 /** The other homes. Renewals stay at home: a live link vouches for its holder. */
-export interface Peers {
+export interface PeerHomes {
   accept(channels: Channels): void;
   /** Sends records that this home made to all others. */
   push(records: readonly EndpointRecord[]): void;
@@ -42,9 +42,9 @@
    * Milliseconds since the home was last linked here or to another home that
    * is linked here, or since it was first asked after.
    */
-  absence(home: string): number;
+  unreachableFor(home: string): number;
   /** Passes a report on to the home that holds the instance. */
-  report(home: string, report: Report): void;
+  report(home: string, report: UnreachableReport): void;
   /** Tells the holder that another process claims its instance's id or gate. */
   contest(home: string, instance: string): void;
 }
@@ -62,7 +62,7 @@
 const recordsPerMessage = 500;
 
 /** Creates a home's links to the others. */
-export function createPeers(options: PeersOptions): Peers {
+export function createPeerHomes(options: PeerHomesOptions): PeerHomes {
   const {name, timers, store} = options;
   const sessions = new Set<Session>();
   /** One session for each home, also where both ends opened a link. */
@@ -74,7 +74,7 @@
 
   const turn = (record: EndpointRecord): EndpointRecord => ({
     ...record,
-    announcement: turnSince(record.announcement, timers.wall()),
+    announcement: convertSince(record.announcement, timers.wall()),
   });
 
   function sendRecords(
@@ -119,7 +119,7 @@
    * dead, its instances would be declared gone while their nodes renew there.
    */
   function noteLinked(homes: readonly string[]): void {
-    if (!options.safeguards.vouching) return;
+    if (!options.safeguards.indirectReachability) return;
     for (const home of homes) {
       if (missingSince.has(home)) missingSince.set(home, timers.now());
     }
@@ -235,7 +235,7 @@
       }
     },
     linked: home => named.has(home),
-    absence(home) {
+    unreachableFor(home) {
       const since = missingSince.get(home) ?? timers.now();
       missingSince.set(home, since);
       return timers.now() - since;
--- a/src/endpoints/record-store.test.ts
+++ b/src/endpoints/record-store.test.ts
@@ -90,7 +90,7 @@
   const {store} = start();
   store.merge({...record({state: 'gone'}), goneFor: 600});
   t.is(store.record(store.get('crewbook-1')!).goneFor, 600);
-  t.false(store.get('crewbook-1')!.counted);
+  t.false(store.get('crewbook-1')!.inDigests);
 });
 
 test('a full table takes no more instances but still updates its own', t => {
--- a/src/endpoints/record-store.ts
+++ b/src/endpoints/record-store.ts
@@ -1,7 +1,7 @@
 import murmurhash from 'murmurhash';
 import type {Timers} from '../time/timers.js';
 import {digestText, emptyDigest, toggle} from './digest.js';
-import {digestKnown} from './known-digest.js';
+import {digestInstance} from './instance-digest.js';
 import type {Digest} from './digest.js';
 import type {
   Announcement,
@@ -9,11 +9,11 @@
   KnownInstance,
   RecordSummary,
 } from './messages.js';
-import {isNewer} from './order.js';
+import {isNewer} from './announcement-order.js';
 import type {Safeguards} from './safeguards.js';
 
 /** One instance in a home's table. */
-export interface Entry {
+export interface RecordEntry {
   readonly announcement: Announcement;
   readonly home: string;
   readonly homeRegion: string;
@@ -23,26 +23,26 @@
   /** This home's own doubt; not shared with other homes. */
   suspect: boolean;
   /** Whether the tables' digests count it; old tombstones are left out. */
-  counted: boolean;
+  inDigests: boolean;
 }
 
 /** A change of one instance's entry; `before` is undefined for a new one. */
-export type Observer = (entry: Entry, before: Entry | undefined) => void;
+export type RecordObserver = (entry: RecordEntry, before: RecordEntry | undefined) => void;
 
 /** The table that every home has a copy of. */
 export interface RecordStore {
-  get(instance: string): Entry | undefined;
-  entries(): IterableIterator<Entry>;
-  ofService(service: string): Iterable<Entry>;
+  get(instance: string): RecordEntry | undefined;
+  entries(): IterableIterator<RecordEntry>;
+  ofService(service: string): Iterable<RecordEntry>;
   services(): IterableIterator<string>;
   /** Live entries at one gate's address. */
-  atGate(gate: string): readonly Entry[];
+  liveAtGate(gate: string): readonly RecordEntry[];
   /** Keeps a record if it is newer than what is held. */
   merge(record: EndpointRecord): boolean;
   setSuspect(instance: string, suspect: boolean): void;
   /** Forgets tombstones whose time is over. */
   sweep(): void;
-  record(entry: Entry): EndpointRecord;
+  record(entry: RecordEntry): EndpointRecord;
   root(): Digest;
   bucketDigests(): number[];
   summaries(buckets: readonly number[]): RecordSummary[];
@@ -51,10 +51,10 @@
   serviceDigest(service: string): Digest;
   /** The digest of all services as nodes see them. */
   viewDigest(): Digest;
-  onChange(observe: Observer): void;
+  onChange(observe: RecordObserver): void;
   size(): number;
   /** Live instances, suspects included. */
-  live(): number;
+  liveCount(): number;
 }
 
 /** Settings of a home's table. */
@@ -71,7 +71,7 @@
 const bucketCount = 256;
 
 interface ServiceGroup {
-  readonly entries: Map<string, Entry>;
+  readonly entries: Map<string, RecordEntry>;
   digest: Digest;
 }
 
@@ -81,31 +81,31 @@
   // A tombstone leaves the digests at half its time, so that homes which drop
   // it some seconds apart do not hand it back to each other for ever.
   const countedFor = tombstoneRetention / 2;
-  const entries = new Map<string, Entry>();
+  const entries = new Map<string, RecordEntry>();
   const groups = new Map<string, ServiceGroup>();
   const gates = new Map<string, Set<string>>();
   const members = Array.from({length: bucketCount}, () => new Set<string>());
   const buckets: Digest[] = members.map(() => emptyDigest);
-  const observers: Observer[] = [];
+  const observers: RecordObserver[] = [];
   let root = emptyDigest;
   let view = emptyDigest;
   let live = 0;
 
-  function toggleCounted(entry: Entry): void {
+  function toggleCounted(entry: RecordEntry): void {
     const digest = digestEntry(entry);
     const bucket = bucketOf(entry.announcement.service);
     buckets[bucket] = toggle(buckets[bucket]!, digest);
     root = toggle(root, digest);
   }
 
-  function toggleView(entry: Entry): void {
+  function toggleView(entry: RecordEntry): void {
     const group = groups.get(entry.announcement.service)!;
-    const digest = digestKnown(toKnown(entry));
+    const digest = digestInstance(toKnownInstance(entry));
     group.digest = toggle(group.digest, digest);
     view = toggle(view, digest);
   }
 
-  function add(entry: Entry): void {
+  function add(entry: RecordEntry): void {
     const {instance, service, gate} = entry.announcement;
     entries.set(instance, entry);
     let group = groups.get(service);
@@ -116,14 +116,14 @@
     group.entries.set(instance, entry);
     members[bucketOf(service)]!.add(instance);
     if (entry.goneAt === undefined) addGate(gate, instance);
-    if (entry.counted) toggleCounted(entry);
+    if (entry.inDigests) toggleCounted(entry);
     toggleView(entry);
   }
 
-  function remove(entry: Entry): void {
+  function remove(entry: RecordEntry): void {
     const {instance, service, gate} = entry.announcement;
     toggleView(entry);
-    if (entry.counted) toggleCounted(entry);
+    if (entry.inDigests) toggleCounted(entry);
     if (entry.goneAt === undefined) removeGate(gate, instance);
     entries.delete(instance);
     members[bucketOf(service)]!.delete(instance);
@@ -145,7 +145,7 @@
     if (set.size === 0) gates.delete(gate);
   }
 
-  function makeEntry(record: EndpointRecord): Entry {
+  function makeEntry(record: EndpointRecord): RecordEntry {
     const gone = record.announcement.state === 'gone';
     return {
       announcement: record.announcement,
@@ -154,7 +154,7 @@
       expired: record.expired,
       goneAt: gone ? timers.now() - record.goneFor : undefined,
       suspect: false,
-      counted: !gone || record.goneFor < countedFor,
+      inDigests: !gone || record.goneFor < countedFor,
     };
   }
 
@@ -183,9 +183,9 @@
     for (const entry of entries.values()) {
       if (entry.goneAt === undefined) continue;
       const age = now - entry.goneAt;
-      if (entry.counted && age >= countedFor) {
+      if (entry.inDigests && age >= countedFor) {
         toggleCounted(entry);
-        entry.counted = false;
+        entry.inDigests = false;
       }
       if (age >= tombstoneRetention) remove(entry);
     }
@@ -205,7 +205,7 @@
     entries: () => entries.values(),
     ofService: service => groups.get(service)?.entries.values() ?? [],
     services: () => groups.keys(),
-    atGate: gate =>
+    liveAtGate: gate =>
       [...(gates.get(gate) ?? [])].map(instance => entries.get(instance)!),
     merge,
     setSuspect,
@@ -223,7 +223,7 @@
       wanted.flatMap(bucket =>
         [...members[bucket]!]
           .map(instance => entries.get(instance)!)
-          .filter(entry => entry.counted)
+          .filter(entry => entry.inDigests)
           .map(summarize),
       ),
     bucketOf,
@@ -231,12 +231,12 @@
     viewDigest: () => view,
     onChange: observe => void observers.push(observe),
     size: () => entries.size,
-    live: () => live,
+    liveCount: () => live,
   };
 }
 
 /** What nodes are told of an entry. */
-export function toKnown(entry: Entry): KnownInstance {
+export function toKnownInstance(entry: RecordEntry): KnownInstance {
   if (!entry.suspect) return entry.announcement;
   return {...entry.announcement, suspect: true};
 }
@@ -245,13 +245,13 @@
   return murmurhash.v3(service) % bucketCount;
 }
 
-function digestEntry(entry: Entry): Digest {
+function digestEntry(entry: RecordEntry): Digest {
   const {instance, incarnation, sequence, gate} = entry.announcement;
   const mark = entry.goneAt === undefined ? '' : 'g';
   return digestText(`${instance} ${incarnation} ${sequence} ${gate}${mark}`);
 }
 
-function summarize(entry: Entry): RecordSummary {
+function summarize(entry: RecordEntry): RecordSummary {
   const {instance, incarnation, sequence} = entry.announcement;
   const gone = entry.goneAt !== undefined;
   return {instance, incarnation, sequence, gone};
--- a/src/endpoints/registry.ts
+++ b/src/endpoints/registry.ts
@@ -4,8 +4,8 @@
 import {createLeases} from './leases.js';
 import type {EndpointRecord, EndpointView, KnownInstance} from './messages.js';
 import {createNodeSessions} from './node-sessions.js';
-import {createPeers} from './peers.js';
-import {createRecordStore, toKnown} from './record-store.js';
+import {createPeerHomes} from './peer-homes.js';
+import {createRecordStore, toKnownInstance} from './record-store.js';
 import {allSafeguards} from './safeguards.js';
 import type {Safeguards} from './safeguards.js';
 
@@ -19,7 +19,7 @@
   /** How long an instance counts as alive after its last renewal. */
   readonly lease: number;
   /** What is left of the lease once the node's link has closed; default 5000. */
-  readonly closedLease?: number;
+  readonly closedLinkLease?: number;
   /** How long instances of a dead home may take to find another; default three leases. */
   readonly orphanLease?: number;
   /** Share of a service whose leases may run out close together; default 0.25. */
@@ -27,11 +27,11 @@
   /** How close together counts for `expiryShare`; default 60,000. */
   readonly expiryWindow?: number;
   /** Nodes whose report clears an instance that is held back; default 2. */
-  readonly witnesses?: number;
+  readonly requiredWitnesses?: number;
   /** How long changes that follow another are gathered for a node; default 50. */
-  readonly window?: number;
+  readonly deltaWindow?: number;
   /** Time between two comparisons with each other home; default 1000. */
-  readonly comparison?: number;
+  readonly comparisonInterval?: number;
   /** Silence after which another home counts as cut off; default 5000. */
   readonly peerTimeout?: number;
   /** How long gone instances are remembered; default one day. */
@@ -76,7 +76,7 @@
 export function createRegistry(options: RegistryOptions): Registry {
   const {name, region, timers, lease} = options;
   const log = options.log.scope('endpoints');
-  const comparison = options.comparison ?? defaults.comparison;
+  const comparison = options.comparisonInterval ?? defaults.comparison;
   const safeguards = {...allSafeguards, ...options.safeguards};
   const store = createRecordStore({
     timers,
@@ -85,7 +85,7 @@
     limit: options.limit ?? defaults.limit,
     safeguards,
   });
-  const peers = createPeers({
+  const peers = createPeerHomes({
     name,
     timers,
     store,
@@ -102,11 +102,11 @@
     store,
     peers,
     lease,
-    closedLease: options.closedLease ?? defaults.closedLease,
+    closedLinkLease: options.closedLinkLease ?? defaults.closedLease,
     orphanLease: options.orphanLease ?? lease * defaults.orphanLeases,
     expiryShare: options.expiryShare,
     expiryWindow: options.expiryWindow,
-    witnesses: options.witnesses,
+    requiredWitnesses: options.requiredWitnesses,
     contestLease: options.contestLease ?? defaults.contestLease,
     safeguards,
   });
@@ -118,8 +118,8 @@
     store,
     peers,
     leases,
-    window: options.window ?? defaults.window,
-    silence: lease,
+    deltaWindow: options.deltaWindow ?? defaults.window,
+    silenceTimeout: lease,
     completeAt: timers.now() + lease + defaults.closedLease,
   });
   const ticking = timers.every(comparison, () => {
@@ -133,7 +133,7 @@
   function instances(service: string): readonly KnownInstance[] {
     return [...store.ofService(service)]
       .filter(entry => entry.goneAt === undefined)
-      .map(toKnown)
+      .map(toKnownInstance)
       .sort((left, right) => (left.instance < right.instance ? -1 : 1));
   }
 
--- a/src/endpoints/safeguards.ts
+++ b/src/endpoints/safeguards.ts
@@ -10,7 +10,7 @@
   /** Only homes of its own region declare an instance gone. */
   readonly region: boolean;
   /** A home that others still hear is not taken for dead. */
-  readonly vouching: boolean;
+  readonly indirectReachability: boolean;
   /** Two claims to one id or gate are settled by who still renews. */
   readonly contest: boolean;
 }
@@ -20,6 +20,6 @@
   order: true,
   comparison: true,
   region: true,
-  vouching: true,
+  indirectReachability: true,
   contest: true,
 };
--- a/src/endpoints/transit.ts
+++ b/src/endpoints/since-conversion.ts
@@ -6,7 +6,7 @@
  * and a receiver that took the sender's time for its own would treat a warm
  * instance as cold, or a cold one as warm. The two ways are one operation.
  */
-export function turnSince<T extends Announcement>(
+export function convertSince<T extends Announcement>(
   announcement: T,
   wall: number,
 ): T {
--- a/src/endpoints/subscriptions.ts
+++ b/src/endpoints/subscriptions.ts
@@ -2,16 +2,16 @@
 import {emptyDigest, equalDigests, toggle} from './digest.js';
 import type {Digest} from './digest.js';
 import type {HomeMessage, ServiceDigest} from './messages.js';
-import {toKnown} from './record-store.js';
-import type {Entry, RecordStore} from './record-store.js';
-import {turnSince} from './transit.js';
+import {toKnownInstance} from './record-store.js';
+import type {RecordEntry, RecordStore} from './record-store.js';
+import {convertSince} from './since-conversion.js';
 
 /** Settings of what a home tells its nodes; times in milliseconds. */
 export interface SubscriptionsOptions {
   readonly timers: Timers;
   readonly store: RecordStore;
   /** How long changes that follow another are gathered. */
-  readonly window: number;
+  readonly deltaWindow: number;
   /** Whether every live instance has had the time to be announced here. */
   readonly isComplete: () => boolean;
 }
@@ -46,11 +46,11 @@
 export function createSubscriptions(
   options: SubscriptionsOptions,
 ): Subscriptions {
-  const {timers, store, window, isComplete} = options;
+  const {timers, store, deltaWindow: window, isComplete} = options;
   const takers = new Map<string, Set<Taker>>();
   const takersOfAll = new Set<Taker>();
 
-  const onWire = (entry: Entry) => turnSince(toKnown(entry), timers.wall());
+  const onWire = (entry: RecordEntry) => convertSince(toKnownInstance(entry), timers.wall());
 
   function takersOf(service: string): Set<Taker> {
     const set = takers.get(service) ?? new Set();
@@ -126,7 +126,7 @@
   }
 
   /** A service that the instance has left must hear of it as well. */
-  function spread(entry: Entry, before: Entry | undefined): void {
+  function spread(entry: RecordEntry, before: RecordEntry | undefined): void {
     const {instance, service} = entry.announcement;
     const left = before?.announcement.service ?? service;
     for (const taker of takersOfAll) mark(taker, instance);
--- a/src/keepers/appointer.test.ts
+++ b/src/keepers/keeper-assigner.test.ts
@@ -10,8 +10,8 @@
 import {createSilentLog} from '../log/log.js';
 import {createRandom} from '../random/random.js';
 import {createFakeTimers} from '../time/fakes/fake-timers.js';
-import {createAppointer} from './appointer.js';
-import {quarantineFor} from './plan.js';
+import {createKeeperAssigner} from './keeper-assigner.js';
+import {quarantineDuration} from './plan.js';
 
 const service = 'stock-desk';
 const retention = 60_000;
@@ -111,7 +111,7 @@
   }
 
   machine.onChange(tell);
-  const appointer = createAppointer({
+  const appointer = createKeeperAssigner({
     name: 'control-1',
     consensus: group.member('control-1'),
     machine,
@@ -214,7 +214,7 @@
   await stage.timers.advanceAsync(3000);
   t.is(await stage.book('key'), 'keepers-lost');
   t.is(stage.runs.count, 1);
-  await stage.timers.advanceAsync(quarantineFor(retention));
+  await stage.timers.advanceAsync(quarantineDuration(retention));
   t.is(await stage.book('later'), 'granted');
 });
 
--- a/src/keepers/appointer.ts
+++ b/src/keepers/keeper-assigner.ts
@@ -18,11 +18,11 @@
 import {failure} from '../result/failure.js';
 import type {Result} from '../result/failure.js';
 import type {Subscription, Timers} from '../time/timers.js';
-import {isSeen, planAccepted, planKeepers} from './plan.js';
+import {isAnnounced, planAfterAcceptedLoss, planKeepers} from './plan.js';
 import type {ServiceView} from './plan.js';
 
 /** What an appointer is made of. */
-export interface AppointerOptions {
+export interface KeeperAssignerOptions {
   /** The control process's name. */
   readonly name: string;
   readonly consensus: Pick<Consensus, 'propose' | 'status'>;
@@ -37,13 +37,13 @@
   /** Milliseconds between two looks; default 500. */
   readonly period?: number;
   /** Milliseconds a member may be unseen before it is replaced; default 5000. */
-  readonly missingGrace?: number;
+  readonly missingTimeout?: number;
   /** Milliseconds to wait for a service's first instances; default 3000. */
-  readonly firstGrace?: number;
+  readonly firstAssignmentDelay?: number;
 }
 
 /** Appoints keepers while its control process leads. */
-export interface Appointer {
+export interface KeeperAssigner {
   /**
    * An operator's word that the current keepers' processes are stopped and
    * their claims given up: the next set holds claims at once. A resend of work
@@ -59,11 +59,11 @@
 const inquiryTimeout = 300;
 
 /** Creates the appointer of a control process; idle unless it leads. */
-export function createAppointer(options: AppointerOptions): Appointer {
+export function createKeeperAssigner(options: KeeperAssignerOptions): KeeperAssigner {
   const {consensus, machine, endpoints, timers} = options;
   const log = options.log.scope('keepers');
-  const missingGrace = options.missingGrace ?? defaultMissingGrace;
-  const firstGrace = options.firstGrace ?? defaultFirstGrace;
+  const missingGrace = options.missingTimeout ?? defaultMissingGrace;
+  const firstGrace = options.firstAssignmentDelay ?? defaultFirstGrace;
   const propose = createSystemProposer({
     operator: appointerName(options.name),
     consensus,
@@ -83,7 +83,7 @@
     instances: readonly KnownInstance[],
   ): boolean {
     const key = `${service} ${member.address} ${member.incarnation}`;
-    if (isSeen(member, instances)) {
+    if (isAnnounced(member, instances)) {
       missingSince.delete(key);
       return false;
     }
@@ -196,7 +196,7 @@
     async acceptLoss(service) {
       const {version, services} = machine.current();
       const next = services.has(service)
-        ? planAccepted(view(service))
+        ? planAfterAcceptedLoss(view(service))
         : undefined;
       if (next === undefined) {
         return failure(
--- a/src/keepers/plan.test.ts
+++ b/src/keepers/plan.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
 import type {KeeperAssignment} from '../configuration/configuration.js';
 import type {KnownInstance} from '../endpoints/messages.js';
-import {planAccepted, planKeepers, quarantineFor} from './plan.js';
+import {planAfterAcceptedLoss, planKeepers, quarantineDuration} from './plan.js';
 import type {Plan, ServiceView} from './plan.js';
 
 const retention = 60_000;
@@ -143,7 +143,7 @@
   const [one, two] = current.members.map(member => member.instance);
   const instances = restarted(two!, restarted(one!));
   const next = expectSet(planKeepers(view({current, instances})));
-  t.is(next.quarantine, quarantineFor(retention));
+  t.is(next.quarantine, quarantineDuration(retention));
   t.is(next.previous, undefined);
 });
 
@@ -159,7 +159,7 @@
     missing: new Set(names.map(name => `${name}:2`)),
   });
   t.deepEqual(planKeepers(stuck), {kind: 'stuck', missing: names});
-  const accepted = planAccepted(stuck)!;
+  const accepted = planAfterAcceptedLoss(stuck)!;
   t.is(accepted.members.length, 3);
   t.is(accepted.quarantine, undefined);
 });
@@ -217,5 +217,5 @@
   t.is(announceOthers(same, 4).kind, 'stuck');
   t.is(announceOthers(other, 6).kind, 'stuck');
   const {quarantine} = expectSet(announceOthers(same, 6));
-  t.is(quarantine, quarantineFor(retention));
+  t.is(quarantine, quarantineDuration(retention));
 });
--- a/src/keepers/plan.ts
+++ b/src/keepers/plan.ts
@@ -15,7 +15,7 @@
 const lateVotes = 5000;
 
 /** Milliseconds that a set waits after most of the one before was lost. */
-export function quarantineFor(retention: number): number {
+export function quarantineDuration(retention: number): number {
   return retention + lateVotes;
 }
 
@@ -63,7 +63,7 @@
 }
 
 /** The set after an operator accepted the loss of the current one's claims. */
-export function planAccepted(view: ServiceView): KeeperAssignment | undefined {
+export function planAfterAcceptedLoss(view: ServiceView): KeeperAssignment | undefined {
   const members = choose([], candidatesOf(view), fullSet);
   if (members.length === 0) return undefined;
   return {epoch: view.nextEpoch, members};
@@ -88,7 +88,7 @@
   const isWorse = members.length < Math.min(fullSet, current.members.length);
   if (members.length === 0 || isWorse) return {kind: 'none'};
   const {nextEpoch: epoch} = view;
-  const quarantine = quarantineFor(view.retention);
+  const quarantine = quarantineDuration(view.retention);
   return {kind: 'appoint', next: {epoch, members, quarantine}};
 }
 
@@ -196,7 +196,7 @@
 }
 
 /** Whether an announcement is of the member's own life. */
-export function isSeen(
+export function isAnnounced(
   member: Keeper,
   instances: readonly KnownInstance[],
 ): boolean {
--- a/src/node/claims.ts
+++ b/src/node/claims.ts
@@ -7,7 +7,7 @@
   Configuration,
   KeeperAssignment,
 } from '../configuration/configuration.js';
-import type {KeeperOffer} from '../endpoints/messages.js';
+import type {KeeperEndpoint} from '../endpoints/messages.js';
 import type {Metrics} from '../metrics/metrics.js';
 import type {Process} from '../process/process.js';
 import type {NodeSettings} from '../settings/schema.js';
@@ -25,7 +25,7 @@
 export interface NodeClaims {
   readonly claims: KeeperClaims;
   /** What it announces of its keeper; undefined when it has none. */
-  readonly offer: KeeperOffer | undefined;
+  readonly offer: KeeperEndpoint | undefined;
   /** Takes the keeper sets of a new configuration. */
   review(configuration: Configuration): void;
   /** Hands its keeper's claims over before a planned stop, within a limit. */
@@ -76,14 +76,14 @@
 function offerOf(
   settings: NodeSettings,
   incarnation: number,
-): KeeperOffer | undefined {
+): KeeperEndpoint | undefined {
   if (settings.keeperAddress === undefined) return undefined;
   return {address: settings.keeperAddress, incarnation};
 }
 
 async function startKeeper(
   {settings, process}: NodeClaimsOptions,
-  offer: KeeperOffer | undefined,
+  offer: KeeperEndpoint | undefined,
 ): Promise<ClaimKeeper | undefined> {
   if (offer === undefined) return undefined;
   return createKeeper({
--- a/src/quarantine/evidence-exchange.ts
+++ b/src/quarantine/evidence-exchange.ts
@@ -6,7 +6,7 @@
 import type {Log} from '../log/log.js';
 import type {Timers} from '../time/timers.js';
 import type {Evidence} from './messages.js';
-import {readEvidence} from './shape.js';
+import {parseEvidence} from './evidence-schema.js';
 
 /** Options of `createEvidenceExchange`. */
 export interface EvidenceExchangeOptions {
@@ -83,7 +83,7 @@
   }
 
   function receive(from: Channel, peer: string, body: unknown): void {
-    const evidence = readEvidence(body);
+    const evidence = parseEvidence(body);
     if (evidence === undefined) {
       return log.warn('evidence refused', {peer});
     }
--- a/src/quarantine/shape.ts
+++ b/src/quarantine/evidence-schema.ts
@@ -23,6 +23,6 @@
 ]);
 
 /** Reads evidence; undefined when it is none. */
-export function readEvidence(body: unknown): Evidence | undefined {
+export function parseEvidence(body: unknown): Evidence | undefined {
   return evidence.safeParse(body).data;
 }
--- a/src/quarantine/messages.ts
+++ b/src/quarantine/messages.ts
@@ -34,6 +34,6 @@
 export type Evidence = CrashEvidence | AnswerEvidence;
 
 /** Names one life of an instance. */
-export function lifeOf(instance: string, incarnation: number): string {
+export function incarnationId(instance: string, incarnation: number): string {
   return `${instance}/${incarnation}`;
 }
--- a/src/quarantine/plan.test.ts
+++ b/src/quarantine/plan.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
 import type {Quarantine} from '../configuration/configuration.js';
 import {planQuarantine} from './plan.js';
-import type {Case} from './plan.js';
+import type {PlanInput} from './plan.js';
 
 const suspect = {
   name: 'a'.repeat(32),
@@ -32,17 +32,17 @@
 };
 
 function recordOf(lives: readonly string[], isAnswered = false) {
-  return {suspect, lives: new Set(lives), isAnswered};
+  return {suspect, endedIncarnations: new Set(lives), isAnswered};
 }
 
 /** What becomes of a case: the state put, why it is removed, or `keep`. */
-function outcome(changes: Partial<Case>): string {
+function outcome(changes: Partial<PlanInput>): string {
   const plan = planQuarantine({
     quarantine: undefined,
     record: undefined,
     hasService: true,
-    lives: ['c-4/1', 'c-5/1'],
-    hasTrialEnded: false,
+    servingIncarnations: ['c-4/1', 'c-5/1'],
+    hasTrialInstanceEnded: false,
     age: 0,
     wall: 99,
     ...changes,
@@ -89,7 +89,7 @@
 });
 
 test('a trial waits for an instance that takes work', t => {
-  t.is(outcome({quarantine: held, age: 10_000, lives: []}), 'keep');
+  t.is(outcome({quarantine: held, age: 10_000, servingIncarnations: []}), 'keep');
 });
 
 test('a refusal does not last for ever', t => {
@@ -100,7 +100,7 @@
 test('a trial that ends its instance, or whose instance is gone, is over', t => {
   const crashed = recordOf(['c-4/1']);
   t.is(outcome({quarantine: onTrial, record: crashed}), 'held');
-  t.is(outcome({quarantine: onTrial, lives: ['c-5/1']}), 'held');
+  t.is(outcome({quarantine: onTrial, servingIncarnations: ['c-5/1']}), 'held');
   t.is(outcome({quarantine: onTrial}), 'keep');
 });
 
@@ -109,13 +109,13 @@
     quarantine: onTrial,
     record: undefined,
     hasService: true,
-    lives: ['c-5/1'],
-    hasTrialEnded: true,
+    servingIncarnations: ['c-5/1'],
+    hasTrialInstanceEnded: true,
     age: 0,
     wall: 99,
   });
   t.like(plan, {quarantine: {state: 'on-trial', trials: 1, trialAt: 'c-5/1'}});
-  t.is(outcome({quarantine: onTrial, lives: [], hasTrialEnded: true}), 'held');
+  t.is(outcome({quarantine: onTrial, servingIncarnations: [], hasTrialInstanceEnded: true}), 'held');
 });
 
 test('an answer clears a request in each state', t => {
--- a/src/quarantine/plan.ts
+++ b/src/quarantine/plan.ts
@@ -6,10 +6,10 @@
  * ends when the instances no longer crash.
  */
 import type {Quarantine} from '../configuration/configuration.js';
-import type {SuspectRecord} from './ledger.js';
+import type {SuspectRecord} from './suspect-table.js';
 
 /** What is known of one request when its treatment is decided. */
-export interface Case {
+export interface PlanInput {
   /** The quarantine in force; undefined before the first. */
   readonly quarantine: Quarantine | undefined;
   /** What was heard of it; undefined after a restart. */
@@ -17,9 +17,9 @@
   /** Whether its service is in force. */
   readonly hasService: boolean;
   /** Lives of its service's instances that take work; for held ones only. */
-  readonly lives: readonly string[];
+  readonly servingIncarnations: readonly string[];
   /** Whether the trial's instance ended, under whatever ran. */
-  readonly hasTrialEnded: boolean;
+  readonly hasTrialInstanceEnded: boolean;
   /** Milliseconds since the quarantine took its state; 0 before the first. */
   readonly age: number;
   /** Milliseconds since the epoch, for people only: the clock may jump. */
@@ -76,7 +76,7 @@
 
 /** Decides how one request is to be treated. */
 export function planQuarantine(
-  one: Case,
+  one: PlanInput,
   safeguards: QuarantineSafeguards = allQuarantineSafeguards,
 ): Plan {
   const {quarantine, record} = one;
@@ -93,22 +93,22 @@
   }
 }
 
-function planFirst({record, hasService, wall}: Case): Plan {
+function planFirst({record, hasService, wall}: PlanInput): Plan {
   const suspect = record?.suspect;
   if (record === undefined || suspect === undefined) return keep;
-  if (!hasService || record.lives.size < watchedFrom) return keep;
+  if (!hasService || record.endedIncarnations.size < watchedFrom) return keep;
   return put({
     ...suspect,
     state: 'watched',
     since: wall,
-    ended: told([...record.lives]),
+    ended: told([...record.endedIncarnations]),
     trials: 0,
   });
 }
 
 function planWatched(
   quarantine: Quarantine,
-  one: Case,
+  one: PlanInput,
   {watch}: QuarantineSafeguards,
 ): Plan {
   const {age, wall} = one;
@@ -120,8 +120,8 @@
   return age > longestWatch ? {kind: 'remove', reason: 'expired'} : keep;
 }
 
-function planHeld(quarantine: Quarantine, one: Case): Plan {
-  const {age, wall, lives} = one;
+function planHeld(quarantine: Quarantine, one: PlanInput): Plan {
+  const {age, wall, servingIncarnations: lives} = one;
   if (age > longestHold) return {kind: 'remove', reason: 'expired'};
   const delay = trialDelays[quarantine.trials];
   if (delay === undefined || lives.length === 0 || age < delay) return keep;
@@ -135,23 +135,23 @@
   });
 }
 
-function planOnTrial(quarantine: Quarantine, one: Case): Plan {
+function planOnTrial(quarantine: Quarantine, one: PlanInput): Plan {
   const {trialAt, ...rest} = quarantine;
-  const {wall, lives} = one;
+  const {wall, servingIncarnations: lives} = one;
   const ended = allEnded(quarantine, one);
   const isTried = ended.includes(trialAt!);
   if (!isTried && lives.includes(trialAt!)) return keep;
   // The instance ended under other work, so the trial is still to come.
   const next = lives.find(life => life !== trialAt);
-  if (!isTried && one.hasTrialEnded && next !== undefined) {
+  if (!isTried && one.hasTrialInstanceEnded && next !== undefined) {
     return put({...quarantine, since: wall, trialAt: next});
   }
   // Whether an instance that left had tried it can't be told.
   return put({...rest, state: 'held', since: wall, ended: told(ended)});
 }
 
-function allEnded({ended}: Quarantine, {record}: Case): string[] {
-  return [...new Set([...ended, ...(record?.lives ?? [])])];
+function allEnded({ended}: Quarantine, {record}: PlanInput): string[] {
+  return [...new Set([...ended, ...(record?.endedIncarnations ?? [])])];
 }
 
 function told(lives: readonly string[]): string[] {
--- a/src/quarantine/warden.test.ts
+++ b/src/quarantine/quarantine-controller.test.ts
@@ -14,9 +14,9 @@
 import {createFakeTimers, settle} from '../time/fakes/fake-timers.js';
 import type {Timers} from '../time/timers.js';
 import {createEvidenceExchange} from './evidence-exchange.js';
-import {createEvidenceReporter} from './reporter.js';
+import {createEvidenceReporter} from './evidence-reporter.js';
 import type {QuarantineSafeguards} from './plan.js';
-import {createQuarantineWarden} from './warden.js';
+import {createQuarantineController} from './quarantine-controller.js';
 
 const service = 'crewbook';
 const controls = ['control-1', 'control-2', 'control-3'];
@@ -43,7 +43,7 @@
 
   function startHome(control: string) {
     const exchange = createEvidenceExchange({timers, log: recorded.log});
-    const warden = createQuarantineWarden({
+    const warden = createQuarantineController({
       name: control,
       consensus: group.member(control),
       machine: group.machine(control),
@@ -53,7 +53,7 @@
       limit,
       ...(safeguards !== undefined && {safeguards}),
     });
-    exchange.onEvidence(warden.take);
+    exchange.onEvidence(warden.addEvidence);
     return exchange;
   }
 
--- a/src/quarantine/warden.ts
+++ b/src/quarantine/quarantine-controller.ts
@@ -9,14 +9,14 @@
 import type {Fields, Log} from '../log/log.js';
 import {commonCodes} from '../result/codes.js';
 import type {Timers} from '../time/timers.js';
-import {createLedger} from './ledger.js';
-import {lifeOf} from './messages.js';
+import {createSuspectTable} from './suspect-table.js';
+import {incarnationId} from './messages.js';
 import type {Evidence} from './messages.js';
 import {planQuarantine} from './plan.js';
 import type {Plan, QuarantineSafeguards} from './plan.js';
 
 /** Options of `createQuarantineWarden`. */
-export interface QuarantineWardenOptions {
+export interface QuarantineControllerOptions {
   /** The control process's name. */
   readonly name: string;
   readonly consensus: Pick<Consensus, 'propose' | 'status'>;
@@ -35,8 +35,8 @@
 }
 
 /** Keeps what was heard, and decides on it while its process leads. */
-export interface QuarantineWarden {
-  take(evidence: Evidence): void;
+export interface QuarantineController {
+  addEvidence(evidence: Evidence): void;
   stop(): void;
 }
 
@@ -54,12 +54,12 @@
 const noRoom: Plan = {kind: 'remove', reason: 'no room'};
 
 /** Creates the warden of a control process. */
-export function createQuarantineWarden(
-  options: QuarantineWardenOptions,
-): QuarantineWarden {
+export function createQuarantineController(
+  options: QuarantineControllerOptions,
+): QuarantineController {
   const {consensus, machine, endpoints, timers} = options;
   const log = options.log.scope('quarantine');
-  const ledger = createLedger(timers);
+  const ledger = createSuspectTable(timers);
   const propose = createSystemProposer({
     operator: quarantineName(options.name),
     consensus,
@@ -86,7 +86,7 @@
 
   /** One that was answered, released or has expired begins anew. */
   function forget(name: string): void {
-    ledger.forget(name);
+    ledger.reset(name);
     changedAt.delete(name);
   }
 
@@ -96,7 +96,7 @@
     return endpoints
       .instances(quarantine.service)
       .filter(({state}) => state === 'serving')
-      .map(({instance, incarnation}) => lifeOf(instance, incarnation));
+      .map(({instance, incarnation}) => incarnationId(instance, incarnation));
   }
 
   function planOne(name: string): Plan {
@@ -108,8 +108,8 @@
       quarantine,
       record,
       hasService: service !== undefined && services.has(service),
-      lives: trialLives(quarantine),
-      hasTrialEnded: ledger.hasEnded(quarantine?.trialAt ?? ''),
+      servingIncarnations: trialLives(quarantine),
+      hasTrialInstanceEnded: ledger.hasEnded(quarantine?.trialAt ?? ''),
       age: timers.now() - (changedAt.get(name) ?? timers.now()),
       wall: timers.wall(),
     };
@@ -188,7 +188,7 @@
   const ticking = timers.every(period, lookOnce);
 
   return {
-    take: evidence => {
+    addEvidence: evidence => {
       if (evidence.kind === 'crash') ledger.crashed(evidence);
       else ledger.answered(evidence.name);
       lookSoon();
--- a/src/quarantine/ledger.ts
+++ b/src/quarantine/suspect-table.ts
@@ -10,17 +10,17 @@
   /** Undefined while only an answer to it was heard of. */
   readonly suspect: Suspect | undefined;
   /** Lives that ended under it, since it was answered last. */
-  readonly lives: ReadonlySet<string>;
+  readonly endedIncarnations: ReadonlySet<string>;
   /** An instance has answered it of late. */
   readonly isAnswered: boolean;
 }
 
 /** The requests under which instances have ended. */
-export interface Ledger {
+export interface SuspectTable {
   crashed(evidence: CrashEvidence): void;
   answered(name: string): void;
   /** Its quarantine ended; what led to it counts no longer. */
-  forget(name: string): void;
+  reset(name: string): void;
   get(name: string): SuspectRecord | undefined;
   /** Whether a life is known to have ended, under whatever ran. */
   hasEnded(life: string): boolean;
@@ -46,34 +46,34 @@
  */
 const answerLead = 1_000;
 
-interface OwnRecord {
+interface TimedRecord {
   readonly suspect: Suspect | undefined;
-  readonly lives: Set<string>;
+  readonly endedIncarnations: Set<string>;
   readonly answeredAt: number | undefined;
-  readonly heardAt: number;
+  readonly updatedAt: number;
 }
 
 /** Creates an empty ledger. */
-export function createLedger(clock: Clock): Ledger {
+export function createSuspectTable(clock: Clock): SuspectTable {
   /** The one that was heard of last stands last. */
-  const records = new Map<string, OwnRecord>();
+  const records = new Map<string, TimedRecord>();
   const ended = new Set<string>();
 
-  function put(name: string, record: Omit<OwnRecord, 'heardAt'>): void {
+  function put(name: string, record: Omit<TimedRecord, 'updatedAt'>): void {
     records.delete(name);
-    records.set(name, {...record, heardAt: clock.now()});
+    records.set(name, {...record, updatedAt: clock.now()});
     trim();
   }
 
   function trim(): void {
     const oldest = clock.now() - longestMemory;
-    for (const [name, {heardAt}] of records) {
-      if (heardAt > oldest && records.size <= mostRecords) return;
+    for (const [name, {updatedAt: updatedAt}] of records) {
+      if (updatedAt > oldest && records.size <= mostRecords) return;
       records.delete(name);
     }
   }
 
-  function isJustAnswered({answeredAt}: OwnRecord): boolean {
+  function isJustAnswered({answeredAt}: TimedRecord): boolean {
     return answeredAt !== undefined && clock.now() - answeredAt < answerLead;
   }
 
@@ -82,9 +82,9 @@
     const known = records.get(name);
     if (known !== undefined && isJustAnswered(known)) return;
     const isFirst = known === undefined || known.answeredAt !== undefined;
-    const lives = isFirst ? new Set<string>() : known.lives;
+    const lives = isFirst ? new Set<string>() : known.endedIncarnations;
     addLast(lives, life, mostLives);
-    put(name, {suspect, lives, answeredAt: undefined});
+    put(name, {suspect, endedIncarnations: lives, answeredAt: undefined});
   }
 
   return {
@@ -95,12 +95,12 @@
     answered: name => {
       const suspect = records.get(name)?.suspect;
       const answeredAt = clock.now();
-      put(name, {suspect, lives: new Set(), answeredAt});
+      put(name, {suspect, endedIncarnations: new Set(), answeredAt});
     },
-    forget: name => {
+    reset: name => {
       const known = records.get(name);
       if (known === undefined) return;
-      if (isJustAnswered(known)) known.lives.clear();
+      if (isJustAnswered(known)) known.endedIncarnations.clear();
       else records.delete(name);
     },
     get: name => {
--- a/src/request/quarantine.test.ts
+++ b/src/request/quarantine.test.ts
@@ -2,7 +2,7 @@
 import {request} from 'undici';
 import test from 'ava';
 import type {Quarantine} from '../configuration/configuration.js';
-import {lifeOf} from '../quarantine/messages.js';
+import {incarnationId} from '../quarantine/messages.js';
 import type {Suspect} from '../quarantine/messages.js';
 import {callOf} from './fakes/calls.js';
 import {configurationOf, stockConfiguration} from './fakes/configurations.js';
@@ -13,7 +13,7 @@
 import {settle} from '../time/fakes/fake-timers.js';
 
 const path = '/stock/7';
-const life = lifeOf('stock-desk-1', 1);
+const life = incarnationId('stock-desk-1', 1);
 
 /** A mesh whose upstreams break off on `path` and answer all else. */
 async function start(options: Partial<MeshOptions> = {}) {
