--- a/src/quarantine/evidence-exchange.ts
+++ b/src/quarantine/evidence-exchange.ts
@@ -1,6 +1,7 @@
 /**
- * Passes evidence of nodes on among homes, so that crashes which different
- * nodes saw add up wherever the leader is. Each piece goes over each link once.
+ * Forwards evidence of nodes between homes, so that the leader can combine
+ * crashes reported by different nodes. Each piece of evidence is sent over each
+ * link at most once.
  */
 import type {Channel, Channels} from '../link/channel.js';
 import type {Log} from '../log/log.js';
@@ -14,72 +15,76 @@
   readonly log: Log;
 }
 
-/** One home's links for evidence. */
+/** The evidence channels of one home. */
 export interface EvidenceExchange {
-  /** Hears a node, which is told nothing. */
+  /** Receives evidence from a node; nothing is sent to it. */
   accept(channels: Channels): void;
-  /** Hears a fellow home, or a home above or below, and tells it all. */
+  /** Exchanges all evidence with another home, a relay or its control process. */
   peer(channels: Channels): void;
-  /** Calls `observe` with each piece of evidence that is new here. */
+  /** Calls `observe` with each piece of evidence that this home has not seen. */
   onEvidence(observe: (evidence: Evidence) => void): void;
 }
 
-/** Ids that are remembered to tell what came before. */
-const rememberedIds = 4096;
+/** Maximum number of ids and answers kept to detect duplicates. */
+const maxRememberedIds = 4096;
 
 /**
- * Milliseconds in which one answered request is passed on once. Each node that
- * answers a hot request tells of it, and would leave no room for crashes.
+ * Milliseconds in which answers to one request are forwarded once. Every node
+ * that answers a frequent request reports it, and without this limit those
+ * reports would use up the rate and displace crashes.
  */
-const answerPause = 500;
+const answerInterval = 500;
 
-/** Pieces a second; a loss of power ends hundreds of instances at once. */
-const mostPerSecond = 200;
+/**
+ * Maximum number of pieces of evidence accepted per second; a power failure ends
+ * hundreds of instances at once.
+ */
+const maxPerSecond = 200;
 
 const second = 1000;
 
-/** Creates the links of one home. */
+/** Creates the evidence exchange of one home. */
 export function createEvidenceExchange(
   options: EvidenceExchangeOptions,
 ): EvidenceExchange {
   const {timers} = options;
   const log = options.log.scope('quarantine');
-  const peers = new Set<Channel>();
+  const peerChannels = new Set<Channel>();
   const seen = new Set<string>();
-  /** When each answered request was passed on last, the oldest first. */
-  const answers = new Map<string, number>();
+  /** When an answer to each request was last forwarded, oldest first. */
+  const answeredAt = new Map<string, number>();
   const observers: Array<(evidence: Evidence) => void> = [];
   let periodEnd = 0;
-  let taken = 0;
+  let receivedInPeriod = 0;
 
   function remember(id: string): void {
     seen.add(id);
-    if (seen.size > rememberedIds) seen.delete(seen.values().next().value!);
+    if (seen.size > maxRememberedIds) seen.delete(seen.values().next().value!);
   }
 
-  function isKnown(evidence: Evidence): boolean {
+  function isDuplicate(evidence: Evidence): boolean {
     if (seen.has(evidence.id)) return true;
     if (evidence.kind !== 'answer') return false;
     const {name} = evidence;
     const now = timers.now();
-    if (now - (answers.get(name) ?? -Infinity) < answerPause) return true;
-    answers.delete(name);
-    answers.set(name, now);
-    if (answers.size > rememberedIds) {
-      answers.delete(answers.keys().next().value!);
+    if (now - (answeredAt.get(name) ?? -Infinity) < answerInterval) return true;
+    answeredAt.delete(name);
+    answeredAt.set(name, now);
+    if (answeredAt.size > maxRememberedIds) {
+      answeredAt.delete(answeredAt.keys().next().value!);
     }
     return false;
   }
 
   function isWithinRate(): boolean {
     if (timers.now() >= periodEnd) {
-      if (taken > mostPerSecond) {
-        log.warn('evidence left out', {count: taken - mostPerSecond});
+      if (receivedInPeriod > maxPerSecond) {
+        log.warn('evidence left out', {count: receivedInPeriod - maxPerSecond});
       }
       periodEnd = timers.now() + second;
-      taken = 0;
+      receivedInPeriod = 0;
     }
-    return ++taken <= mostPerSecond;
+    return ++receivedInPeriod <= maxPerSecond;
   }
 
   function receive(from: Channel, peer: string, body: unknown): void {
@@ -87,9 +92,9 @@
     if (evidence === undefined) {
       return log.warn('evidence refused', {peer});
     }
-    if (isKnown(evidence) || !isWithinRate()) return;
+    if (isDuplicate(evidence) || !isWithinRate()) return;
     remember(evidence.id);
-    for (const other of peers) if (other !== from) other.send(evidence);
+    for (const other of peerChannels) if (other !== from) other.send(evidence);
     for (const observe of observers) observe(evidence);
   }
 
@@ -103,8 +108,8 @@
     accept: channels => void listen(channels),
     peer: channels => {
       const channel = listen(channels);
-      peers.add(channel);
-      channels.onClose(() => peers.delete(channel));
+      peerChannels.add(channel);
+      channels.onClose(() => peerChannels.delete(channel));
     },
     onEvidence: observe => void observers.push(observe),
   };
--- a/src/quarantine/evidence-reporter.ts
+++ b/src/quarantine/evidence-reporter.ts
@@ -1,4 +1,4 @@
-/** A node's part: tells its home what it has seen of requests. */
+/** Reports a node's evidence about requests to its home. */
 import type {Channel, Channels} from '../link/channel.js';
 import type {Timers} from '../time/timers.js';
 import type {Evidence, Suspect} from './messages.js';
@@ -12,30 +12,30 @@
 
 /** Reports evidence to the node's home. */
 export interface EvidenceReporter {
-  /** Takes a link to a home; the one before is no longer used. */
+  /** Uses this link from now on and sends recent evidence over it. */
   attach(channels: Channels): void;
-  /** A life of the own instance ended while these requests ran. */
+  /** Reports that the node's instance crashed while these requests ran. */
   crashed(life: string, suspects: readonly Suspect[]): void;
-  /** The own instance answered a quarantined request. */
+  /** Reports that the node's instance answered a quarantined request. */
   answered(name: string): void;
 }
 
 /**
- * Milliseconds for which evidence is told again to each new home: the last one
- * may have been out of touch with the others when it was told.
+ * Milliseconds for which evidence is sent again to each new home, since the
+ * previous home may have been cut off from the others when it received it.
  */
-const keptFor = 10_000;
+const resendFor = 10_000;
 
-/** Pieces of evidence kept for that. */
-const keptCount = 64;
+/** Maximum number of pieces of evidence kept for sending again. */
+const maxRecent = 64;
 
-/** Suspects of one crash that are told. */
-const mostSuspects = 64;
+/** Maximum number of suspects reported for one crash. */
+const maxSuspects = 64;
 
-/** Milliseconds in which one answered request is told once. */
-const answerPause = 500;
+/** Milliseconds in which answers to one request are reported once. */
+const answerInterval = 500;
 
-interface Kept {
+interface RecentEvidence {
   readonly at: number;
   readonly evidence: Evidence;
 }
@@ -45,50 +45,50 @@
   options: EvidenceReporterOptions,
 ): EvidenceReporter {
   const {name, timers} = options;
-  const life = Math.floor(timers.wall()).toString(36);
+  const processId = Math.floor(timers.wall()).toString(36);
   let count = 0;
-  let kept: Kept[] = [];
+  let recent: RecentEvidence[] = [];
   let channel: Channel | undefined;
 
-  const nextId = () => `${name}/${life}/${count++}`;
+  const nextId = () => `${name}/${processId}/${count++}`;
 
-  function tell(evidence: Evidence): void {
+  function report(evidence: Evidence): void {
     const at = timers.now();
-    kept = kept.filter(one => at - one.at < keptFor).slice(1 - keptCount);
-    kept.push({at, evidence});
+    recent = recent.filter(one => at - one.at < resendFor).slice(1 - maxRecent);
+    recent.push({at, evidence});
     channel?.send(evidence);
   }
 
-  function isTold(name: string): boolean {
-    return kept.some(
+  function wasReportedRecently(name: string): boolean {
+    return recent.some(
       ({at, evidence}) =>
         evidence.kind === 'answer' &&
         evidence.name === name &&
-        timers.now() - at < answerPause,
+        timers.now() - at < answerInterval,
     );
   }
 
   return {
     attach: channels => {
-      const own = channels.on('quarantine');
-      channel = own;
+      const newChannel = channels.on('quarantine');
+      channel = newChannel;
       channels.onClose(() => {
-        if (channel === own) channel = undefined;
+        if (channel === newChannel) channel = undefined;
       });
-      for (const {at, evidence} of kept) {
-        if (timers.now() - at < keptFor) own.send(evidence);
+      for (const {at, evidence} of recent) {
+        if (timers.now() - at < resendFor) newChannel.send(evidence);
       }
     },
-    crashed: (ended, suspects) =>
-      tell({
+    crashed: (life, suspects) =>
+      report({
         kind: 'crash',
         id: nextId(),
-        life: ended,
-        suspects: suspects.slice(0, mostSuspects),
+        life,
+        suspects: suspects.slice(0, maxSuspects),
       }),
-    answered: answered => {
-      if (isTold(answered)) return;
-      tell({kind: 'answer', id: nextId(), name: answered});
+    answered: requestName => {
+      if (wasReportedRecently(requestName)) return;
+      report({kind: 'answer', id: nextId(), name: requestName});
     },
   };
 }
--- a/src/quarantine/evidence-schema.ts
+++ b/src/quarantine/evidence-schema.ts
@@ -1,4 +1,4 @@
-/** The shape of evidence as it comes from another process. */
+/** Validates evidence that is received from another process. */
 import {z} from 'zod';
 import type {Evidence} from './messages.js';
 
@@ -22,7 +22,7 @@
   z.object({kind: z.literal('answer'), id: text, name: digest}),
 ]);
 
-/** Reads evidence; undefined when it is none. */
+/** Parses a message body; undefined when it is not valid evidence. */
 export function parseEvidence(body: unknown): Evidence | undefined {
   return evidence.safeParse(body).data;
 }
--- a/src/quarantine/messages.ts
+++ b/src/quarantine/messages.ts
@@ -1,28 +1,28 @@
-/** What nodes tell of requests that end instances, and of those that don't. */
+/** Evidence that nodes report about requests that may crash instances. */
 
-/** A request that ran when an instance ended. */
+/** A request that was running when an instance crashed. */
 export interface Suspect {
   /** The digest of the whole request. */
   readonly name: string;
-  /** The digest of all but its body. */
+  /** The digest of the request without its body. */
   readonly head: string;
   readonly service: string;
   /** Method, host and path, for operators. */
   readonly request: string;
 }
 
-/** An instance ended by itself. */
+/** An instance crashed. */
 export interface CrashEvidence {
   readonly kind: 'crash';
-  /** Differs for each piece of evidence; what arrives twice counts once. */
+  /** Unique for each piece of evidence; duplicates are discarded by it. */
   readonly id: string;
-  /** The instance with its incarnation. */
+  /** The incarnation that ended; see `incarnationId`. */
   readonly life: string;
-  /** All that ran at that moment. */
+  /** All requests that were running at that moment. */
   readonly suspects: readonly Suspect[];
 }
 
-/** A quarantined request was answered by an instance. */
+/** An instance answered a quarantined request. */
 export interface AnswerEvidence {
   readonly kind: 'answer';
   readonly id: string;
@@ -30,10 +30,10 @@
   readonly name: string;
 }
 
-/** What a node has seen. */
+/** An observation of a node. */
 export type Evidence = CrashEvidence | AnswerEvidence;
 
-/** Names one life of an instance. */
+/** The identifier of one incarnation of an instance: `instance/incarnation`. */
 export function incarnationId(instance: string, incarnation: number): string {
   return `${instance}/${incarnation}`;
 }
--- a/src/quarantine/plan.test.ts
+++ b/src/quarantine/plan.test.ts
@@ -31,11 +31,11 @@
   trialAt: 'c-4/1',
 };
 
-function recordOf(lives: readonly string[], isAnswered = false) {
-  return {suspect, endedIncarnations: new Set(lives), isAnswered};
+function recordOf(incarnations: readonly string[], isAnswered = false) {
+  return {suspect, endedIncarnations: new Set(incarnations), isAnswered};
 }
 
-/** What becomes of a case: the state put, why it is removed, or `keep`. */
+/** The outcome of a plan: the new state, the removal reason, or `keep`. */
 function outcome(changes: Partial<PlanInput>): string {
   const plan = planQuarantine({
     quarantine: undefined,
@@ -51,17 +51,17 @@
   return plan.kind === 'remove' ? plan.reason : 'keep';
 }
 
-test('one crash blames no request', t => {
+test('a single crash does not lead to a quarantine', t => {
   t.is(outcome({record: recordOf(['c-1/1'])}), 'keep');
 });
 
-test('a request is watched from the second crash on, however many come at once', t => {
+test('a request is watched first, even when more than two crashes are reported at once', t => {
   t.is(outcome({record: recordOf(['c-1/1', 'c-2/1'])}), 'watched');
   const many = recordOf(['c-1/1', 'c-2/1', 'c-3/1', 'c-4/1']);
   t.is(outcome({record: many}), 'watched');
 });
 
-test('three instances that crash together beside a lookup leave its answers a second', t => {
+test('a request is held no sooner than one second after it is watched', t => {
   const third = recordOf(['c-3/1']);
   t.is(outcome({quarantine: watched, record: third, age: 999}), 'keep');
   t.is(outcome({quarantine: watched, record: third, age: 1_000}), 'held');
@@ -72,12 +72,12 @@
   );
 });
 
-test('two crashes hold nothing, and are forgotten in time', t => {
+test('a request with two crashes stays watched until the watch expires', t => {
   t.is(outcome({quarantine: watched, age: 600_000}), 'keep');
   t.is(outcome({quarantine: watched, age: 600_001}), 'expired');
 });
 
-test('a held request gets three trials, the first soon, and no more', t => {
+test('a held request gets three trials, the first one after 3 s', t => {
   const at = (trials: number, age: number) =>
     outcome({quarantine: {...held, trials}, age});
   t.is(at(0, 2_999), 'keep');
@@ -88,23 +88,26 @@
   t.is(at(3, 86_400_000), 'keep');
 });
 
-test('a trial waits for an instance that takes work', t => {
-  t.is(outcome({quarantine: held, age: 10_000, servingIncarnations: []}), 'keep');
+test('a trial waits until an instance is serving', t => {
+  t.is(
+    outcome({quarantine: held, age: 10_000, servingIncarnations: []}),
+    'keep',
+  );
 });
 
-test('a refusal does not last for ever', t => {
+test('a held request without further trials is released after a day', t => {
   const quarantine = {...held, trials: 3};
   t.is(outcome({quarantine, age: 86_400_001}), 'expired');
 });
 
-test('a trial that ends its instance, or whose instance is gone, is over', t => {
+test('a trial ends when its instance crashes or is gone', t => {
   const crashed = recordOf(['c-4/1']);
   t.is(outcome({quarantine: onTrial, record: crashed}), 'held');
   t.is(outcome({quarantine: onTrial, servingIncarnations: ['c-5/1']}), 'held');
   t.is(outcome({quarantine: onTrial}), 'keep');
 });
 
-test('a trial whose instance ended under other work moves on, and counts once', t => {
+test('a trial whose instance crashed under other work moves to another instance and counts once', t => {
   const plan = planQuarantine({
     quarantine: onTrial,
     record: undefined,
@@ -115,17 +118,24 @@
     wall: 99,
   });
   t.like(plan, {quarantine: {state: 'on-trial', trials: 1, trialAt: 'c-5/1'}});
-  t.is(outcome({quarantine: onTrial, servingIncarnations: [], hasTrialInstanceEnded: true}), 'held');
+  t.is(
+    outcome({
+      quarantine: onTrial,
+      servingIncarnations: [],
+      hasTrialInstanceEnded: true,
+    }),
+    'held',
+  );
 });
 
-test('an answer clears a request in each state', t => {
+test('an answer removes the quarantine in every state', t => {
   const record = recordOf([], true);
   for (const quarantine of [watched, held, onTrial]) {
     t.is(outcome({quarantine, record}), 'answered');
   }
 });
 
-test('a quarantine goes with its service', t => {
+test('a quarantine is removed together with its service', t => {
   t.is(outcome({quarantine: held, hasService: false}), 'no service');
   const record = recordOf(['c-1/1', 'c-2/1']);
   t.is(outcome({record, hasService: false}), 'keep');
--- a/src/quarantine/plan.ts
+++ b/src/quarantine/plan.ts
@@ -1,161 +1,190 @@
 /**
- * What becomes of requests under which instances end. All that ran at a crash
- * is suspect, so one crash blames nobody: from the second on all nodes watch
- * the request, any answer clears it, and after the third it is held unless it
- * was answered meanwhile. A held request gets a few trials, so that a refusal
- * ends when the instances no longer crash.
+ * Decides how to treat requests that were running when instances crashed. All
+ * requests that ran at a crash are suspects, so a single crash has no
+ * consequences: from the second crash on all nodes watch the request, any
+ * answer clears it, and after the third it is held unless it was answered in
+ * between. A held request gets a few trials, so that it is no longer refused
+ * once the instances do not crash any more.
  */
 import type {Quarantine} from '../configuration/configuration.js';
 import type {SuspectRecord} from './suspect-table.js';
 
-/** What is known of one request when its treatment is decided. */
+/** The input of a decision about one request. */
 export interface PlanInput {
   /** The quarantine in force; undefined before the first. */
   readonly quarantine: Quarantine | undefined;
-  /** What was heard of it; undefined after a restart. */
+  /** The evidence about it; undefined after a restart. */
   readonly record: SuspectRecord | undefined;
-  /** Whether its service is in force. */
+  /** Whether the configuration in force has its service. */
   readonly hasService: boolean;
-  /** Lives of its service's instances that take work; for held ones only. */
+  /**
+   * Incarnations of its service's instances that take work; empty while the
+   * request is only watched.
+   */
   readonly servingIncarnations: readonly string[];
-  /** Whether the trial's instance ended, under whatever ran. */
+  /** Whether the trial's instance has crashed, whatever was running. */
   readonly hasTrialInstanceEnded: boolean;
-  /** Milliseconds since the quarantine took its state; 0 before the first. */
+  /** Milliseconds since the quarantine entered its state; 0 without one. */
   readonly age: number;
-  /** Milliseconds since the epoch, for people only: the clock may jump. */
+  /**
+   * Milliseconds since the epoch. Only shown to operators and never compared,
+   * since the clock may jump.
+   */
   readonly wall: number;
 }
 
-/** How a request is to be treated: a new quarantine, none, or as it is. */
+/** The change of a request's quarantine: put it, remove it, or keep it as is. */
 export type Plan =
   | {readonly kind: 'put'; readonly quarantine: Quarantine}
   | {readonly kind: 'remove'; readonly reason: RemovalReason}
   | {readonly kind: 'keep'};
 
-/** Why a quarantine ends. */
+/** Why a quarantine is removed. */
 export type RemovalReason = 'answered' | 'expired' | 'no service' | 'no room';
 
-/** Crashes from which on all nodes watch a request. */
-const watchedFrom = 2;
+/** Number of crashes from which on all nodes watch a request. */
+const watchThreshold = 2;
 
-/** Crashes from which on it is held. */
-const heldFrom = 3;
+/** Number of crashes from which on a request is held. */
+const holdThreshold = 3;
 
 /**
- * Milliseconds for which nodes watch it at least before it is held: instances
- * may crash together while a request is under way at each of them, and its
- * answers elsewhere take this long to be heard of.
+ * Minimum time in milliseconds for which nodes watch a request before it is
+ * held. Several instances may crash together while a harmless request runs on
+ * each of them; reports of its answers from other instances take this long.
  */
-const shortestWatch = 1_000;
+const minWatch = 1_000;
 
-/** Milliseconds after which a watched request is forgotten. */
-const longestWatch = 600_000;
+/** Milliseconds after which a request that is only watched is released. */
+const maxWatch = 600_000;
 
 /**
- * Milliseconds from when it was held to each trial. The first comes soon, for a
- * request that was blamed wrongly; each costs an instance if it was not.
+ * Milliseconds from when a request was held to each trial. The first trial comes
+ * early because the request may be harmless; if it is not, each trial crashes an
+ * instance.
  */
 const trialDelays: readonly number[] = [3_000, 600_000, 3_600_000];
 
-/** Milliseconds after which a held request that nobody tried is forgotten. */
-const longestHold = 86_400_000;
+/** Milliseconds after which a held request without a trial is released. */
+const maxHold = 86_400_000;
 
-/** Lives that ended which a quarantine tells of. */
-const toldLives = 8;
+/** Maximum number of ended incarnations listed in a quarantine. */
+const maxListedIncarnations = 8;
 
 const keep: Plan = {kind: 'keep'};
 
-/** Safeguards that a test may take out to show what they are for. */
+/** Safeguards that a test can turn off to show the failure that each prevents. */
 export interface QuarantineSafeguards {
   /** A request is watched for a while before it is held. */
   readonly watch: boolean;
 }
 
-/** What a process runs with. */
+/** The safeguards of every process. */
 export const allQuarantineSafeguards: QuarantineSafeguards = {watch: true};
 
-/** Decides how one request is to be treated. */
+/** Decides how to change the quarantine of one request. */
 export function planQuarantine(
-  one: PlanInput,
+  input: PlanInput,
   safeguards: QuarantineSafeguards = allQuarantineSafeguards,
 ): Plan {
-  const {quarantine, record} = one;
-  if (quarantine === undefined) return planFirst(one);
-  if (!one.hasService) return {kind: 'remove', reason: 'no service'};
+  const {quarantine, record} = input;
+  if (quarantine === undefined) return planFirst(input);
+  if (!input.hasService) return {kind: 'remove', reason: 'no service'};
   if (record?.isAnswered === true) return {kind: 'remove', reason: 'answered'};
   switch (quarantine.state) {
     case 'watched':
-      return planWatched(quarantine, one, safeguards);
+      return planWatched(quarantine, input, safeguards);
     case 'held':
-      return planHeld(quarantine, one);
+      return planHeld(quarantine, input);
     case 'on-trial':
-      return planOnTrial(quarantine, one);
+      return planOnTrial(quarantine, input);
   }
 }
 
 function planFirst({record, hasService, wall}: PlanInput): Plan {
   const suspect = record?.suspect;
   if (record === undefined || suspect === undefined) return keep;
-  if (!hasService || record.endedIncarnations.size < watchedFrom) return keep;
+  if (!hasService || record.endedIncarnations.size < watchThreshold)
+    return keep;
   return put({
     ...suspect,
     state: 'watched',
     since: wall,
-    ended: told([...record.endedIncarnations]),
+    ended: listIncarnations([...record.endedIncarnations]),
     trials: 0,
   });
 }
 
 function planWatched(
   quarantine: Quarantine,
-  one: PlanInput,
+  input: PlanInput,
   {watch}: QuarantineSafeguards,
 ): Plan {
-  const {age, wall} = one;
-  const ended = allEnded(quarantine, one);
-  const isWatched = !watch || age >= shortestWatch;
-  if (ended.length >= heldFrom && isWatched) {
-    return put({...quarantine, state: 'held', since: wall, ended: told(ended)});
+  const {age, wall} = input;
+  const ended = allEndedIncarnations(quarantine, input);
+  const wasWatchedLongEnough = !watch || age >= minWatch;
+  if (ended.length >= holdThreshold && wasWatchedLongEnough) {
+    return put({
+      ...quarantine,
+      state: 'held',
+      since: wall,
+      ended: listIncarnations(ended),
+    });
   }
-  return age > longestWatch ? {kind: 'remove', reason: 'expired'} : keep;
+  return age > maxWatch ? {kind: 'remove', reason: 'expired'} : keep;
 }
 
-function planHeld(quarantine: Quarantine, one: PlanInput): Plan {
-  const {age, wall, servingIncarnations: lives} = one;
-  if (age > longestHold) return {kind: 'remove', reason: 'expired'};
+function planHeld(quarantine: Quarantine, input: PlanInput): Plan {
+  const {age, wall, servingIncarnations} = input;
+  if (age > maxHold) return {kind: 'remove', reason: 'expired'};
   const delay = trialDelays[quarantine.trials];
-  if (delay === undefined || lives.length === 0 || age < delay) return keep;
+  if (delay === undefined || servingIncarnations.length === 0 || age < delay)
+    return keep;
   const trials = quarantine.trials + 1;
   return put({
     ...quarantine,
     state: 'on-trial',
     since: wall,
     trials,
-    trialAt: lives[0]!,
+    trialAt: servingIncarnations[0]!,
   });
 }
 
-function planOnTrial(quarantine: Quarantine, one: PlanInput): Plan {
+function planOnTrial(quarantine: Quarantine, input: PlanInput): Plan {
   const {trialAt, ...rest} = quarantine;
-  const {wall, servingIncarnations: lives} = one;
-  const ended = allEnded(quarantine, one);
-  const isTried = ended.includes(trialAt!);
-  if (!isTried && lives.includes(trialAt!)) return keep;
-  // The instance ended under other work, so the trial is still to come.
-  const next = lives.find(life => life !== trialAt);
-  if (!isTried && one.hasTrialInstanceEnded && next !== undefined) {
-    return put({...quarantine, since: wall, trialAt: next});
+  const {wall, servingIncarnations} = input;
+  const ended = allEndedIncarnations(quarantine, input);
+  const hasTrialCrashed = ended.includes(trialAt!);
+  if (!hasTrialCrashed && servingIncarnations.includes(trialAt!)) return keep;
+  // The instance crashed under other work, so the trial has not happened yet.
+  const nextTrialAt = servingIncarnations.find(
+    incarnation => incarnation !== trialAt,
+  );
+  if (
+    !hasTrialCrashed &&
+    input.hasTrialInstanceEnded &&
+    nextTrialAt !== undefined
+  ) {
+    return put({...quarantine, since: wall, trialAt: nextTrialAt});
   }
-  // Whether an instance that left had tried it can't be told.
-  return put({...rest, state: 'held', since: wall, ended: told(ended)});
+  // For an instance that left it is unknown whether it ran the request.
+  return put({
+    ...rest,
+    state: 'held',
+    since: wall,
+    ended: listIncarnations(ended),
+  });
 }
 
-function allEnded({ended}: Quarantine, {record}: PlanInput): string[] {
+function allEndedIncarnations(
+  {ended}: Quarantine,
+  {record}: PlanInput,
+): string[] {
   return [...new Set([...ended, ...(record?.endedIncarnations ?? [])])];
 }
 
-function told(lives: readonly string[]): string[] {
-  return lives.slice(-toldLives);
+function listIncarnations(incarnations: readonly string[]): string[] {
+  return incarnations.slice(-maxListedIncarnations);
 }
 
 function put(quarantine: Quarantine): Plan {
--- a/src/quarantine/quarantine-configuration.test.ts
+++ b/src/quarantine/quarantine-configuration.test.ts
@@ -26,15 +26,15 @@
   item: {kind: 'quarantine', value: quarantine},
 } as const;
 
-function createHolding() {
+function createSampleWithQuarantine() {
   const sample = createSample();
   const {version} = sample.edit([putService('stock-desk')]);
   sample.edit([put], quarantineName('control-1'));
   return {sample, version};
 }
 
-test('a quarantine outlives a whole revision and a snapshot', t => {
-  const {sample} = createHolding();
+test('a quarantine survives a replacement of the configuration and a snapshot', t => {
+  const {sample} = createSampleWithQuarantine();
   const {machine} = sample;
   const item = {
     kind: 'service',
@@ -48,8 +48,8 @@
   t.is(restored.digest(), machine.digest());
 });
 
-test('a quarantine is no conflict for an operator, nor in the way of a removal', t => {
-  const {sample, version} = createHolding();
+test('a quarantine neither conflicts with an operator change nor prevents removing its service', t => {
+  const {sample, version} = createSampleWithQuarantine();
   const edits = [
     {action: 'remove', kind: 'service', name: 'stock-desk'},
   ] as const;
@@ -62,8 +62,8 @@
   t.is(answer.code, 1000);
 });
 
-test('an operator can release a request, and quarantine none', t => {
-  const {sample} = createHolding();
+test('an operator can remove a quarantine but cannot create one', t => {
+  const {sample} = createSampleWithQuarantine();
   const checked = checkLimits(
     {operator: 'amina', sequence: 1, edits: [put]},
     defaults.limits,
--- a/src/quarantine/quarantine-controller.test.ts
+++ b/src/quarantine/quarantine-controller.test.ts
@@ -22,18 +22,19 @@
 const controls = ['control-1', 'control-2', 'control-3'];
 const name = 'a'.repeat(32);
 const other = 'c'.repeat(32);
-const knownWithin = 3_000;
+/** Milliseconds within which a held state must be in force. */
+const decisionTime = 3_000;
 
 function suspectOf(digest: string) {
   return {name: digest, head: 'b'.repeat(32), service, request: 'GET /7'};
 }
 
-/** Three control processes with a node each, joined as the processes are. */
+/** Starts three control processes with one node each, linked as in production. */
 async function start(limit = 256, safeguards?: QuarantineSafeguards) {
   const timers = createFakeTimers(100_000);
-  let jumped = 0;
+  let wallOffset = 0;
   const clock = Object.create(timers, {
-    wall: {value: () => timers.wall() + jumped},
+    wall: {value: () => timers.wall() + wallOffset},
   }) as Timers;
   const network = createFakeNetwork(timers);
   const recorded = createRecordedLog();
@@ -43,7 +44,7 @@
 
   function startHome(control: string) {
     const exchange = createEvidenceExchange({timers, log: recorded.log});
-    const warden = createQuarantineController({
+    const controller = createQuarantineController({
       name: control,
       consensus: group.member(control),
       machine: group.machine(control),
@@ -53,7 +54,7 @@
       limit,
       ...(safeguards !== undefined && {safeguards}),
     });
-    exchange.onEvidence(warden.addEvidence);
+    exchange.onEvidence(controller.addEvidence);
     return exchange;
   }
 
@@ -68,14 +69,14 @@
     homes.set(control, home);
     await network.from(control).listen(`${control}:1`, accepted => {
       const channels = createChannels(accepted);
-      // Nodes are told from fellow homes by their hello.
+      // Production distinguishes nodes from other homes by the hello message.
       if (/^(control|relay)/.test(accepted.peer)) home.peer(channels);
       else home.accept(channels);
     });
   }
   for (const [index, control] of controls.entries()) {
-    for (const fellow of controls.slice(index + 1)) {
-      homes.get(control)!.peer(await link(control, fellow));
+    for (const otherControl of controls.slice(index + 1)) {
+      homes.get(control)!.peer(await link(control, otherControl));
     }
   }
 
@@ -121,9 +122,9 @@
     lines: recorded.lines,
     stateOf: (digest = name, control = 'control-2') =>
       group.machine(control).current().quarantines.get(digest)?.state,
-    /** The time of day jumps; the steady clock goes on. */
+    /** Moves the wall clock but not the monotonic clock. */
     jump: (milliseconds: number) => {
-      jumped += milliseconds;
+      wallOffset += milliseconds;
     },
     pass: (milliseconds: number) => timers.advanceAsync(milliseconds),
   };
@@ -131,39 +132,39 @@
 
 type Stage = Awaited<ReturnType<typeof start>>;
 
-/** One crash at each node, each seen by that node alone. */
-function crashAtEach({nodes}: Stage, digest = name, life = 1): void {
+/** Reports one crash at each node, each observed by that node only. */
+function reportCrashAtEachNode({nodes}: Stage, digest = name, life = 1): void {
   for (const [index, node] of nodes.entries()) {
     node.crashed(`c-${index + 1}/${life}`, [suspectOf(digest)]);
   }
 }
 
-test('crashes that three nodes saw at three homes add up, and every control process knows in time', async t => {
+test('crashes reported by three nodes at three homes are counted together, and every control process applies the quarantine in time', async t => {
   const stage = await start();
-  crashAtEach(stage);
+  reportCrashAtEachNode(stage);
   await stage.pass(500);
   t.is(stage.stateOf(), 'watched');
-  await stage.pass(knownWithin - 500);
+  await stage.pass(decisionTime - 500);
   for (const control of controls) t.is(stage.stateOf(name, control), 'held');
 });
 
-test('a crash that is told twice counts once', async t => {
+test('a crash that is reported twice counts once', async t => {
   const stage = await start();
   const [first] = stage.nodes;
   first!.crashed('c-1/1', [suspectOf(name)]);
-  // After a move to another home it is told again.
+  // The node reports it again after each move to another home.
   await first!.attach('control-2');
   await first!.attach('control-3');
-  await stage.pass(knownWithin);
+  await stage.pass(decisionTime);
   t.is(stage.stateOf(), undefined);
 });
 
-test('a crash that was told to a home out of touch is told to the next', async t => {
+test('a crash reported to a home that is cut off is reported again to the next home', async t => {
   const stage = await start();
-  for (const fellow of ['control-1', 'control-2']) {
-    stage.network.cut('control-3', fellow);
+  for (const otherControl of ['control-1', 'control-2']) {
+    stage.network.cut('control-3', otherControl);
   }
-  crashAtEach(stage);
+  reportCrashAtEachNode(stage);
   await stage.pass(500);
   t.is(stage.stateOf(), 'watched');
   await stage.nodes[2]!.attach('control-2');
@@ -171,42 +172,42 @@
   t.is(stage.stateOf(), 'held');
 });
 
-test('the next leader knows what was told to the last', async t => {
+test('a new leader has the evidence that the previous leader received', async t => {
   const stage = await start();
   stage.nodes[0]!.crashed('c-1/1', [suspectOf(name)]);
   await stage.pass(100);
   stage.group.lead('control-3');
   stage.nodes[1]!.crashed('c-2/1', [suspectOf(name)]);
   stage.nodes[2]!.crashed('c-3/1', [suspectOf(name)]);
-  await stage.pass(knownWithin);
+  await stage.pass(decisionTime);
   t.is(stage.stateOf(), 'held');
 });
 
-test('a node that starts empty changes nothing of what is known', async t => {
+test('a node that restarts without evidence does not change a quarantine', async t => {
   const stage = await start();
-  crashAtEach(stage);
-  await stage.pass(knownWithin);
+  reportCrashAtEachNode(stage);
+  await stage.pass(decisionTime);
   await stage.startNode('node-1', 'control-1');
-  await stage.pass(knownWithin);
+  await stage.pass(decisionTime);
   t.is(stage.stateOf(), 'held');
 });
 
 for (const watch of [true, false]) {
-  test(`instances that crash together beside a lookup that is answered 0.4 s later, watched before: ${watch}`, async t => {
+  test(`a request answered 0.4 s after three simultaneous crashes, with minimum watch time: ${watch}`, async t => {
     const stage = await start(256, {watch});
-    crashAtEach(stage);
+    reportCrashAtEachNode(stage);
     await stage.pass(400);
     t.is(stage.stateOf(), watch ? 'watched' : 'held');
     stage.nodes[0]!.answered(name);
-    await stage.pass(knownWithin);
+    await stage.pass(decisionTime);
     t.is(stage.stateOf(), undefined);
   });
 }
 
-test('a lookup that is answered between crashes is not held', async t => {
+test('a request that is answered between crashes is not held', async t => {
   const stage = await start();
   for (let round = 1; round <= 8; round++) {
-    crashAtEach(stage, name, round);
+    reportCrashAtEachNode(stage, name, round);
     await stage.pass(400);
     t.not(stage.stateOf(), 'held');
     if (stage.stateOf() === 'watched') stage.nodes[0]!.answered(name);
@@ -215,22 +216,22 @@
   }
 });
 
-test('a request that was answered elsewhere after each crash is not even watched', async t => {
+test('a request that another instance answers around each crash is not watched', async t => {
   const stage = await start();
   for (let life = 1; life <= 4; life++) {
-    // Word of the answer may come before word of the crash.
+    // The answer may be reported before the crash.
     if (life % 2 === 0) stage.nodes[1]!.answered(name);
     stage.nodes[0]!.crashed(`c-1/${life}`, [suspectOf(name)]);
     if (life % 2 === 1) stage.nodes[1]!.answered(name);
-    await stage.pass(knownWithin);
+    await stage.pass(decisionTime);
     t.is(stage.stateOf(), undefined);
   }
 });
 
-test('an answer clears a request also where all of control started again', async t => {
+test('an answer removes a quarantine after all control processes have restarted', async t => {
   const stage = await start();
-  crashAtEach(stage);
-  await stage.pass(knownWithin);
+  reportCrashAtEachNode(stage);
+  await stage.pass(decisionTime);
   const again = await start();
   const {quarantines} = stage.group.machine('control-1').current();
   await again.put(quarantines.get(name)!);
@@ -240,7 +241,7 @@
   t.is(again.stateOf(), undefined);
 });
 
-test('a clock that jumps holds nothing early and nothing late', async t => {
+test('a jump of the wall clock does not change when a request is held', async t => {
   const stage = await start();
   stage.nodes[0]!.crashed('c-1/1', [suspectOf(name)]);
   stage.nodes[1]!.crashed('c-2/1', [suspectOf(name)]);
@@ -256,11 +257,11 @@
   t.is(stage.stateOf(), 'held');
 });
 
-test('a held request is tried at one life of one instance, and held again when that ends', async t => {
+test('a held request is tried on one incarnation, and held again when that crashes', async t => {
   const stage = await start();
   stage.instances.push(serving('c-4', 7));
-  crashAtEach(stage);
-  await stage.pass(knownWithin + 10_000);
+  reportCrashAtEachNode(stage);
+  await stage.pass(decisionTime + 10_000);
   const quarantine = () =>
     stage.group.machine('control-1').current().quarantines.get(name);
   t.is(quarantine()?.trialAt, 'c-4/7');
@@ -272,22 +273,22 @@
   t.is(quarantine()?.state, 'held');
 });
 
-test('a request that an operator released begins anew', async t => {
+test('crashes before an operator removed the quarantine no longer count', async t => {
   const stage = await start();
-  crashAtEach(stage);
-  await stage.pass(knownWithin);
+  reportCrashAtEachNode(stage);
+  await stage.pass(decisionTime);
   await stage.release(name);
-  await stage.pass(knownWithin);
+  await stage.pass(decisionTime);
   t.is(stage.stateOf(), undefined);
-  crashAtEach(stage, name, 2);
-  await stage.pass(knownWithin);
+  reportCrashAtEachNode(stage, name, 2);
+  await stage.pass(decisionTime);
   t.is(stage.stateOf(), 'held');
 });
 
-test('where there is no room the watched give way, never the held', async t => {
+test('a held request is not removed to make room for a watched one', async t => {
   const stage = await start(1);
-  crashAtEach(stage);
-  await stage.pass(knownWithin);
+  reportCrashAtEachNode(stage);
+  await stage.pass(decisionTime);
   t.is(stage.stateOf(), 'held');
   stage.nodes[0]!.crashed('c-1/2', [suspectOf(other)]);
   stage.nodes[1]!.crashed('c-2/2', [suspectOf(other)]);
@@ -295,7 +296,7 @@
   t.is(stage.stateOf(), 'held');
 });
 
-test('a crash that a node told to a relay counts', async t => {
+test('a crash that a node reports through a relay counts', async t => {
   const stage = await start();
   const node = await stage.startBehindRelay('node-9', 'control-3');
   node.crashed('c-8/1', [suspectOf(name)]);
@@ -304,7 +305,7 @@
   t.is(stage.stateOf(), 'watched');
 });
 
-test('a hot request that all nodes answer leaves room for word of crashes', async t => {
+test('answers of many nodes to a frequent request do not displace reports of crashes', async t => {
   const stage = await start();
   const [crashed] = stage.nodes;
   const many = await Promise.all(
@@ -319,34 +320,35 @@
   t.is(stage.stateOf(), 'watched');
 });
 
-test('where all room is held another request waits, and what is held goes on', async t => {
+test('when held requests use the whole limit, another request waits and their trials continue', async t => {
   const stage = await start(1);
   stage.instances.push(serving('c-4', 7));
-  crashAtEach(stage);
-  await stage.pass(knownWithin);
+  reportCrashAtEachNode(stage);
+  await stage.pass(decisionTime);
   stage.nodes[0]!.crashed('c-1/2', [suspectOf(other)]);
   stage.nodes[1]!.crashed('c-2/2', [suspectOf(other)]);
-  await stage.pass(knownWithin);
+  await stage.pass(decisionTime);
   t.is(stage.stateOf(), 'on-trial');
   t.is(stage.stateOf(other), undefined);
-  const told = stage.lines.filter(
+  const warnings = stage.lines.filter(
     ({message}) => message === 'no room for quarantines',
   );
-  t.is(told.length, 1);
+  t.is(warnings.length, 1);
 });
 
-test('a trial that ends its instance is over, however many ended before', async t => {
+test('a trial that crashes its instance ends, however many crashes came before', async t => {
   const stage = await start();
-  for (let life = 1; life <= 8; life++) crashAtEach(stage, name, life);
+  for (let life = 1; life <= 8; life++)
+    reportCrashAtEachNode(stage, name, life);
   stage.instances.push(serving('c-4', 7));
-  await stage.pass(knownWithin + 3_000);
+  await stage.pass(decisionTime + 3_000);
   stage.nodes[0]!.crashed('c-4/7', [suspectOf(name)]);
   stage.instances.push(serving('c-5', 1));
   await stage.pass(500);
   t.is(stage.stateOf(), 'held');
 });
 
-test('what is no evidence is refused with a line', async t => {
+test('an invalid piece of evidence is rejected and logged', async t => {
   const stage = await start();
   const before = stage.lines.length;
   stage.nodes[0]!.crashed('c-1/1', [{...suspectOf(name), name: 'no digest'}]);
@@ -354,7 +356,7 @@
   t.is(stage.lines[before]?.message, 'evidence refused');
 });
 
-test('beside thousands of crashes what is passed on stays bounded', async t => {
+test('a thousand crashes at once do not exceed the rate of forwarded evidence', async t => {
   const stage = await start();
   for (let count = 0; count < 1_000; count++) {
     stage.nodes[0]!.crashed(`c-${count}/1`, [suspectOf(other)]);
--- a/src/quarantine/quarantine-controller.ts
+++ b/src/quarantine/quarantine-controller.ts
@@ -1,4 +1,7 @@
-/** A control process's part: the leader puts what all nodes are to obey. */
+/**
+ * Puts and removes quarantines in the configuration while its control process
+ * leads.
+ */
 import type {Quarantine} from '../configuration/configuration.js';
 import type {ConfigurationMachine} from '../configuration/create-configuration-machine.js';
 import type {Edit} from '../configuration/messages.js';
@@ -24,27 +27,30 @@
     ConfigurationMachine,
     'prepare' | 'current' | 'onChange'
   >;
-  /** All instances, as this control process knows them. */
+  /** The instances in this control process's table. */
   readonly endpoints: Pick<EndpointView, 'instances'>;
   readonly timers: Timers;
   readonly log: Log;
-  /** Quarantines at once. */
+  /** Maximum number of quarantines. */
   readonly limit: number;
-  /** For tests only; all on by default. */
+  /** For tests only; all enabled by default. */
   readonly safeguards?: QuarantineSafeguards;
 }
 
-/** Keeps what was heard, and decides on it while its process leads. */
+/** Collects evidence, and acts on it while its control process leads. */
 export interface QuarantineController {
   addEvidence(evidence: Evidence): void;
   stop(): void;
 }
 
-/** Milliseconds between two looks; what can wait is decided at one. */
-const period = 250;
+/** Milliseconds between checks for changes that depend on time. */
+const checkInterval = 250;
 
-/** Milliseconds for which evidence is gathered; a crash is told by many at once. */
-const gatherTime = 20;
+/**
+ * Milliseconds for which evidence is collected before a check, since several
+ * nodes may report at the same time.
+ */
+const gatherDelay = 20;
 
 interface NamedPlan {
   readonly name: string;
@@ -53,45 +59,46 @@
 
 const noRoom: Plan = {kind: 'remove', reason: 'no room'};
 
-/** Creates the warden of a control process. */
+/** Creates the quarantine controller of a control process. */
 export function createQuarantineController(
   options: QuarantineControllerOptions,
 ): QuarantineController {
   const {consensus, machine, endpoints, timers} = options;
   const log = options.log.scope('quarantine');
-  const ledger = createSuspectTable(timers);
+  const suspectTable = createSuspectTable(timers);
   const propose = createSystemProposer({
     operator: quarantineName(options.name),
     consensus,
     machine,
     clock: timers,
   });
-  let known: ReadonlyMap<string, Quarantine> = new Map();
-  /** When each quarantine took its state here, by the steady clock. */
-  const changedAt = new Map<string, number>();
-  let isBusy = false;
-  let isFull = false;
-  let isGathering = false;
-
-  function follow(): void {
+  let currentQuarantines: ReadonlyMap<string, Quarantine> = new Map();
+  /** When each quarantine's state was applied here, by the monotonic clock. */
+  const stateChangedAt = new Map<string, number>();
+  let isChecking = false;
+  let wasFull = false;
+  let isCheckScheduled = false;
+
+  function applyConfiguration(): void {
     const {quarantines} = machine.current();
     for (const [name, quarantine] of quarantines) {
-      if (known.get(name) !== quarantine) changedAt.set(name, timers.now());
+      if (currentQuarantines.get(name) !== quarantine)
+        stateChangedAt.set(name, timers.now());
     }
-    for (const name of known.keys()) {
-      if (!quarantines.has(name)) forget(name);
+    for (const name of currentQuarantines.keys()) {
+      if (!quarantines.has(name)) discard(name);
     }
-    known = quarantines;
+    currentQuarantines = quarantines;
   }
 
-  /** One that was answered, released or has expired begins anew. */
-  function forget(name: string): void {
-    ledger.reset(name);
-    changedAt.delete(name);
+  /** Discards the evidence of a removed quarantine, so that counting restarts. */
+  function discard(name: string): void {
+    suspectTable.reset(name);
+    stateChangedAt.delete(name);
   }
 
-  /** Where a trial may run; asked only for what may be tried. */
-  function trialLives(quarantine: Quarantine | undefined): string[] {
+  /** Incarnations on which a trial may run; empty while only watched. */
+  function trialIncarnations(quarantine: Quarantine | undefined): string[] {
     if (quarantine === undefined || quarantine.state === 'watched') return [];
     return endpoints
       .instances(quarantine.service)
@@ -99,101 +106,107 @@
       .map(({instance, incarnation}) => incarnationId(instance, incarnation));
   }
 
-  function planOne(name: string): Plan {
+  function planRequest(name: string): Plan {
     const {services, quarantines} = machine.current();
     const quarantine = quarantines.get(name);
-    const record = ledger.get(name);
+    const record = suspectTable.get(name);
     const service = (quarantine ?? record?.suspect)?.service;
-    const known = {
+    const input = {
       quarantine,
       record,
       hasService: service !== undefined && services.has(service),
-      servingIncarnations: trialLives(quarantine),
-      hasTrialInstanceEnded: ledger.hasEnded(quarantine?.trialAt ?? ''),
-      age: timers.now() - (changedAt.get(name) ?? timers.now()),
+      servingIncarnations: trialIncarnations(quarantine),
+      hasTrialInstanceEnded: suspectTable.hasEnded(quarantine?.trialAt ?? ''),
+      age: timers.now() - (stateChangedAt.get(name) ?? timers.now()),
       wall: timers.wall(),
     };
-    return planQuarantine(known, options.safeguards);
+    return planQuarantine(input, options.safeguards);
   }
 
   /**
-   * The watched ones give way, and beyond that new ones wait: a held one is
-   * never let go of for room, and no change of it waits for room.
+   * Applies the limit. New quarantines replace the oldest watched ones, and wait
+   * when there are no more of those. A held one is never removed to make room,
+   * and changes to existing quarantines do not wait for room.
    */
-  function fit(plans: readonly NamedPlan[]): NamedPlan[] {
+  function applyLimit(plans: readonly NamedPlan[]): NamedPlan[] {
     const {quarantines} = machine.current();
     const isNew = ({name}: NamedPlan) => !quarantines.has(name);
-    const touched = new Set(plans.map(({name}) => name));
-    const yielding = [...quarantines.values()]
-      .filter(({state, name}) => state === 'watched' && !touched.has(name))
+    const changedNames = new Set(plans.map(({name}) => name));
+    const evicted = [...quarantines.values()]
+      .filter(({state, name}) => state === 'watched' && !changedNames.has(name))
       .sort((left, right) => left.since - right.since)
       .map(({name}): NamedPlan => ({name, plan: noRoom}));
-    const free = Math.max(0, options.limit - quarantines.size);
-    const added = plans.filter(isNew).slice(0, free + yielding.length);
-    tellRoom(plans.filter(isNew).length - added.length);
+    const freeSlots = Math.max(0, options.limit - quarantines.size);
+    const admitted = plans.filter(isNew).slice(0, freeSlots + evicted.length);
+    logMissingRoom(plans.filter(isNew).length - admitted.length);
     return [
-      ...yielding.slice(0, Math.max(0, added.length - free)),
-      ...plans.filter(one => !isNew(one)),
-      ...added,
+      ...evicted.slice(0, Math.max(0, admitted.length - freeSlots)),
+      ...plans.filter(entry => !isNew(entry)),
+      ...admitted,
     ];
   }
 
-  function tellRoom(missing: number): void {
-    if (missing > 0 && !isFull) log.error('no room for quarantines', {missing});
-    isFull = missing > 0;
+  function logMissingRoom(missing: number): void {
+    if (missing > 0 && !wasFull)
+      log.error('no room for quarantines', {missing});
+    wasFull = missing > 0;
   }
 
-  function tell(name: string, plan: Plan): void {
+  function logPlan(name: string, plan: Plan): void {
     if (plan.kind === 'put') {
       log.warn('request quarantined', describe(plan.quarantine));
     } else if (plan.kind === 'remove') {
-      log.info('quarantine ended', {quarantine: name, reason: plan.reason});
+      log.info('quarantine removed', {quarantine: name, reason: plan.reason});
     }
   }
 
-  async function look(): Promise<void> {
+  async function check(): Promise<void> {
     if (consensus.status().role !== 'leader') return;
     const {quarantines} = machine.current();
-    const wanted = [...new Set([...quarantines.keys(), ...ledger.names()])]
-      .map(name => ({name, plan: planOne(name)}))
+    const wantedPlans = [
+      ...new Set([...quarantines.keys(), ...suspectTable.names()]),
+    ]
+      .map(name => ({name, plan: planRequest(name)}))
       .filter(({plan}) => plan.kind !== 'keep');
-    const plans = fit(wanted);
+    const plans = applyLimit(wantedPlans);
     if (plans.length === 0) return;
-    const answer = await propose(
+    const proposed = await propose(
       plans.map(({name, plan}) => toEdit(name, plan)),
     );
-    if (!answer.ok || answer.value.code !== commonCodes.ok.number) {
-      const {message} = answer.ok ? answer.value : answer;
-      return log.warn('quarantines not changed', {reason: message});
+    if (!proposed.ok || proposed.value.code !== commonCodes.ok.number) {
+      const {message} = proposed.ok ? proposed.value : proposed;
+      return log.warn('changes of quarantines were rejected', {
+        reason: message,
+      });
     }
-    for (const {name, plan} of plans) tell(name, plan);
+    for (const {name, plan} of plans) logPlan(name, plan);
   }
 
-  function lookOnce(): void {
-    if (isBusy) return;
-    isBusy = true;
-    void look().finally(() => (isBusy = false));
+  function checkNow(): void {
+    if (isChecking) return;
+    isChecking = true;
+    void check().finally(() => (isChecking = false));
   }
 
-  function lookSoon(): void {
-    if (isGathering) return;
-    isGathering = true;
-    timers.after(gatherTime, () => {
-      isGathering = false;
-      lookOnce();
+  function scheduleCheck(): void {
+    if (isCheckScheduled) return;
+    isCheckScheduled = true;
+    timers.after(gatherDelay, () => {
+      isCheckScheduled = false;
+      checkNow();
     });
   }
 
-  machine.onChange(follow);
-  const ticking = timers.every(period, lookOnce);
+  machine.onChange(applyConfiguration);
+  const checks = timers.every(checkInterval, checkNow);
 
   return {
     addEvidence: evidence => {
-      if (evidence.kind === 'crash') ledger.crashed(evidence);
-      else ledger.answered(evidence.name);
-      lookSoon();
+      if (evidence.kind === 'crash') suspectTable.crashed(evidence);
+      else suspectTable.answered(evidence.name);
+      scheduleCheck();
     },
-    stop: () => ticking.cancel(),
+    stop: () => checks.cancel(),
   };
 }
 
--- a/src/quarantine/suspect-table.ts
+++ b/src/quarantine/suspect-table.ts
@@ -1,50 +1,53 @@
 /**
- * Which requests ended which lives of instances, as one control process has
- * heard. Each of them keeps one, so that the next leader knows as much.
+ * Records which requests were running when which incarnations of instances
+ * crashed. Every control process keeps a table, so that a new leader has the
+ * same evidence.
  */
 import type {Clock} from '../time/clock.js';
 import type {CrashEvidence, Suspect} from './messages.js';
 
-/** What is known of one request. */
+/** The evidence about one request. */
 export interface SuspectRecord {
-  /** Undefined while only an answer to it was heard of. */
+  /** Undefined while only an answer to the request has been reported. */
   readonly suspect: Suspect | undefined;
-  /** Lives that ended under it, since it was answered last. */
+  /** Incarnations that crashed while it ran, since its last answer. */
   readonly endedIncarnations: ReadonlySet<string>;
-  /** An instance has answered it of late. */
+  /** Whether an instance has answered it since the last counted crash. */
   readonly isAnswered: boolean;
 }
 
-/** The requests under which instances have ended. */
+/** The requests that were running when instances crashed. */
 export interface SuspectTable {
+  /** Records a crash for each of its suspects. */
   crashed(evidence: CrashEvidence): void;
+  /** Records an answer, which discards the crashes recorded before it. */
   answered(name: string): void;
-  /** Its quarantine ended; what led to it counts no longer. */
+  /** Discards the crashes of a request whose quarantine has ended. */
   reset(name: string): void;
   get(name: string): SuspectRecord | undefined;
-  /** Whether a life is known to have ended, under whatever ran. */
-  hasEnded(life: string): boolean;
-  /** The names of all requests that it knows of. */
+  /** Whether a crash of the incarnation was reported, whatever was running. */
+  hasEnded(incarnation: string): boolean;
+  /** The names of all recorded requests. */
   names(): Iterable<string>;
 }
 
-/** Requests that are remembered. */
-const mostRecords = 4096;
+/** Maximum number of recorded requests. */
+const maxRecords = 4096;
 
-/** Ended lives that are remembered. */
-const mostEnded = 1024;
+/** Maximum number of recorded ended incarnations. */
+const maxEnded = 1024;
 
-/** Lives that are remembered of one request. */
-const mostLives = 16;
+/** Maximum number of ended incarnations recorded for one request. */
+const maxIncarnations = 16;
 
-/** Milliseconds without another word after which a request is forgotten. */
-const longestMemory = 600_000;
+/** Milliseconds without a further report after which a record is dropped. */
+const recordRetention = 600_000;
 
 /**
- * Milliseconds after an answer in which crashes don't count: word of a crash
- * may come later than word of the answer that followed it.
+ * Milliseconds after an answer during which crashes are not counted: the report
+ * of a crash may arrive later than that of the answer that followed it.
  */
-const answerLead = 1_000;
+const answerWindow = 1_000;
 
 interface TimedRecord {
   readonly suspect: Suspect | undefined;
@@ -53,11 +56,11 @@
   readonly updatedAt: number;
 }
 
-/** Creates an empty ledger. */
+/** Creates an empty table. */
 export function createSuspectTable(clock: Clock): SuspectTable {
-  /** The one that was heard of last stands last. */
+  /** Ordered by the time of the last update, oldest first. */
   const records = new Map<string, TimedRecord>();
-  const ended = new Set<string>();
+  const endedIncarnations = new Set<string>();
 
   function put(name: string, record: Omit<TimedRecord, 'updatedAt'>): void {
     records.delete(name);
@@ -66,30 +69,36 @@
   }
 
   function trim(): void {
-    const oldest = clock.now() - longestMemory;
-    for (const [name, {updatedAt: updatedAt}] of records) {
-      if (updatedAt > oldest && records.size <= mostRecords) return;
+    const oldest = clock.now() - recordRetention;
+    for (const [name, {updatedAt}] of records) {
+      if (updatedAt > oldest && records.size <= maxRecords) return;
       records.delete(name);
     }
   }
 
   function isJustAnswered({answeredAt}: TimedRecord): boolean {
-    return answeredAt !== undefined && clock.now() - answeredAt < answerLead;
+    return answeredAt !== undefined && clock.now() - answeredAt < answerWindow;
   }
 
-  function add(life: string, suspect: Suspect): void {
+  function add(incarnation: string, suspect: Suspect): void {
     const {name} = suspect;
-    const known = records.get(name);
-    if (known !== undefined && isJustAnswered(known)) return;
-    const isFirst = known === undefined || known.answeredAt !== undefined;
-    const lives = isFirst ? new Set<string>() : known.endedIncarnations;
-    addLast(lives, life, mostLives);
-    put(name, {suspect, endedIncarnations: lives, answeredAt: undefined});
+    const existing = records.get(name);
+    if (existing !== undefined && isJustAnswered(existing)) return;
+    const isFirst = existing === undefined || existing.answeredAt !== undefined;
+    const incarnations = isFirst
+      ? new Set<string>()
+      : existing.endedIncarnations;
+    addLast(incarnations, incarnation, maxIncarnations);
+    put(name, {
+      suspect,
+      endedIncarnations: incarnations,
+      answeredAt: undefined,
+    });
   }
 
   return {
     crashed: ({life, suspects}) => {
-      addLast(ended, life, mostEnded);
+      addLast(endedIncarnations, life, maxEnded);
       for (const suspect of suspects) add(life, suspect);
     },
     answered: name => {
@@ -98,23 +107,28 @@
       put(name, {suspect, endedIncarnations: new Set(), answeredAt});
     },
     reset: name => {
-      const known = records.get(name);
-      if (known === undefined) return;
-      if (isJustAnswered(known)) known.endedIncarnations.clear();
+      const existing = records.get(name);
+      if (existing === undefined) return;
+      if (isJustAnswered(existing)) existing.endedIncarnations.clear();
       else records.delete(name);
     },
     get: name => {
-      const known = records.get(name);
-      if (known === undefined) return undefined;
-      return {...known, isAnswered: known.answeredAt !== undefined};
+      const existing = records.get(name);
+      if (existing === undefined) return undefined;
+      return {...existing, isAnswered: existing.answeredAt !== undefined};
     },
-    hasEnded: life => ended.has(life),
+    hasEnded: incarnation => endedIncarnations.has(incarnation),
     names: () => records.keys(),
   };
 }
 
-/** Adds to the end; beyond `most` the oldest goes. */
-function addLast(lives: Set<string>, life: string, most: number): void {
-  lives.add(life);
-  if (lives.size > most) lives.delete(lives.values().next().value!);
+/** Adds at the end; removes the oldest element when there are more than `max`. */
+function addLast(
+  incarnations: Set<string>,
+  incarnation: string,
+  max: number,
+): void {
+  incarnations.add(incarnation);
+  if (incarnations.size > max)
+    incarnations.delete(incarnations.values().next().value!);
 }
