--- a/src/endpoints/announce-server.test.ts
+++ b/src/endpoints/announce-server.test.ts
@@ -40,7 +40,7 @@
   return {timers, announcer, server, send};
 }
 
-test('an upstream announces itself and takes itself back', async t => {
+test('an upstream announces and withdraws itself', async t => {
   const {announcer, server, send} = await start();
   t.like(await send('POST', upstream()), {status: 200, code: 1000});
   t.is(announcer.current()!.state, 'warming');
@@ -52,7 +52,7 @@
   await server.close();
 });
 
-test('an announcement that is not usable names its fault', async t => {
+test('an invalid announcement is answered with its problem', async t => {
   const {announcer, server, send} = await start();
   const refused: Array<[unknown, RegExp]> = [
     ['{', /not JSON/],
@@ -72,7 +72,7 @@
   await server.close();
 });
 
-test('an upstream that stops renewing is gone unless it still answers', async t => {
+test('an upstream that stops renewing is withdrawn unless it still answers', async t => {
   for (const answers of [false, true]) {
     const {timers, announcer, server, send} = await start(() => answers);
     await send('POST', upstream());
@@ -86,7 +86,7 @@
   }
 });
 
-test('an upstream that breaks off in the middle does not end the node', async t => {
+test('an upstream that resets its connection during a request does not crash the node', async t => {
   const {server, send} = await start();
   const head = 'POST /upstream HTTP/1.1\r\nhost: a\r\ncontent-length: 99';
   const socket = openRaw(server.address, `${head}\r\n\r\n{`);
--- a/src/endpoints/announcement-order.ts
+++ b/src/endpoints/announcement-order.ts
@@ -1,14 +1,15 @@
 import type {Announcement} from './messages.js';
 
 /**
- * Orders two announcements of one instance: negative when `left` is older.
- * Every home and node keeps the greater, so whatever order messages come in,
- * all end with the same one.
+ * Compares two announcements of one instance: negative when `left` is older.
+ * Every home and node keeps the greater one, so all of them converge to the same
+ * announcement in whatever order messages arrive.
  *
- * Of one (incarnation, sequence) a gone one is greater: a home declares an
- * expired lease gone under the last sequence it saw, and an announcement that
- * it had not yet seen is still newer. The gate decides between two processes
- * that started under one name in the same millisecond.
+ * With equal (incarnation, sequence), the state `gone` is greater: a home
+ * declares an instance with an expired lease gone under the last sequence that
+ * it received, and an announcement that it has not received yet is still newer.
+ * The gate breaks the tie between two processes that started under one name in
+ * the same millisecond.
  */
 export function compareAnnouncements(
   left: Announcement,
@@ -17,17 +18,17 @@
   return (
     left.incarnation - right.incarnation ||
     left.sequence - right.sequence ||
-    rank(left) - rank(right) ||
+    stateRank(left) - stateRank(right) ||
     compareText(left.gate, right.gate)
   );
 }
 
-/** Whether `left` takes the place of `right`. */
+/** Whether `left` replaces `right`. */
 export function isNewer(left: Announcement, right: Announcement): boolean {
   return compareAnnouncements(left, right) > 0;
 }
 
-function rank(announcement: Announcement): number {
+function stateRank(announcement: Announcement): number {
   return announcement.state === 'gone' ? 1 : 0;
 }
 
--- a/src/endpoints/announcer.test.ts
+++ b/src/endpoints/announcer.test.ts
@@ -23,7 +23,7 @@
   return {timers, announcer, states};
 }
 
-test('an instance warms, serves, drains, resumes and leaves', t => {
+test('an instance warms up, serves, drains, resumes and leaves', t => {
   const {timers, announcer, states} = start();
   announcer.announce(upstream());
   timers.advance(5000);
@@ -40,7 +40,7 @@
   ]);
 });
 
-test('an upstream that says it is warming ends that itself', t => {
+test('an upstream that announces itself as warming determines when that ends', t => {
   const {timers, announcer, states} = start();
   announcer.announce(upstream({state: 'warming'}));
   timers.advance(60_000);
@@ -48,7 +48,7 @@
   t.deepEqual(states, ['1000000.1 warming', '1000000.2 serving']);
 });
 
-test('a return after leaving, or with another start, is a new incarnation', t => {
+test('an upstream that returns after leaving or has another start is a new incarnation', t => {
   const {announcer, states} = start();
   announcer.announce(upstream({state: 'warming', started: 1}));
   announcer.announce(upstream({state: 'warming', started: 2}));
@@ -62,7 +62,7 @@
   ]);
 });
 
-test("an operator's drain holds whatever the upstream says", t => {
+test("an operator's drain holds whatever the upstream announces", t => {
   const {announcer} = start();
   announcer.setDrains(new Set(['crewbook-1']));
   announcer.announce(upstream());
@@ -73,7 +73,7 @@
   t.is(announcer.current()!.state, 'serving');
 });
 
-test('what is announced cannot change its instance id', t => {
+test('an announced upstream cannot change its instance id', t => {
   const {announcer} = start();
   announcer.announce(upstream());
   const result = announcer.announce(upstream({instance: 'crewbook-2'}));
--- a/src/endpoints/convergence.test.ts
+++ b/src/endpoints/convergence.test.ts
@@ -14,10 +14,10 @@
 type Region = keyof typeof homesByRegion;
 const services = ['crewbook', 'drillvault', 'stock-desk'];
 const instanceCount = 24;
-/** The first so many instances are never disturbed. */
-const stable = 8;
+/** The number of instances that are never disturbed; they come first. */
+const stableCount = 8;
 
-/** One id, with the process that has it now, if any. */
+/** An instance id, with the node that uses it now, if any. */
 interface Slot {
   readonly name: string;
   readonly region: Region;
@@ -36,7 +36,7 @@
 
 async function startNode(world: World, slot: Slot): Promise<void> {
   slot.home = world.random.pick(homesByRegion[slot.region]);
-  // Clocks are wrong by up to a minute, in either direction.
+  // Clocks are off by up to a minute in either direction.
   const clockOffset = world.random.integer(120 * second) - 60 * second;
   const {name, region, service} = slot;
   slot.node = await world.mesh.join(slot.home, name, upstream({service}), {
@@ -73,10 +73,11 @@
   return world;
 }
 
-/** One thing happens to one instance: a crash, a leave, a drain, a move. */
+/** Crashes, restarts, withdraws, drains or moves one random instance. */
 async function disturb(world: World): Promise<void> {
   const {random} = world;
-  const slot = world.slots[stable + random.integer(instanceCount - stable)]!;
+  const slot =
+    world.slots[stableCount + random.integer(instanceCount - stableCount)]!;
   const {node} = slot;
   if (node === undefined) return startNode(world, slot);
   switch (random.integer(5)) {
@@ -104,9 +105,9 @@
   }
 }
 
-function setCut(world: World, cut: boolean): void {
+function setPartition(world: World, isCut: boolean): void {
   const {network} = world.mesh;
-  if (!cut) return network.heal();
+  if (!isCut) return network.heal();
   for (const near of homesByRegion.astana) {
     for (const far of homesByRegion.muscat) {
       network.cut(near, far);
@@ -115,7 +116,7 @@
   }
 }
 
-/** Some messages are lost and some doubled; links do not tell. */
+/** Drops and duplicates some messages without closing links. */
 function disturbMessages(world: World): void {
   const {random} = world;
   world.mesh.network.decide(() => {
@@ -125,24 +126,24 @@
   });
 }
 
-async function churn(world: World, turns: number): Promise<void> {
-  for (let turn = 0; turn < turns; turn++) {
+async function churn(world: World, rounds: number): Promise<void> {
+  for (let round = 0; round < rounds; round++) {
     await disturb(world);
     await world.mesh.advance(world.random.integer(4 * second));
   }
 }
 
-/** Churns, splits the regions, churns, merges; ends when all is quiet. */
-async function play(
+/** Disturbs instances before, during and after a partition, then lets it settle. */
+async function runPartition(
   seed: number,
   safeguards: Partial<Safeguards> = {},
 ): Promise<World> {
   const world = await startWorld(seed, {safeguards});
   disturbMessages(world);
   await churn(world, 15);
-  setCut(world, true);
+  setPartition(world, true);
   await churn(world, 40);
-  setCut(world, false);
+  setPartition(world, false);
   await churn(world, 5);
   world.mesh.network.decide(() => 'deliver');
   await world.mesh.advance(90 * second);
@@ -157,20 +158,20 @@
 const describeLive = (instances: readonly object[]) =>
   instances.map(one => JSON.stringify({...one, since: 0}));
 
-function isSameEverywhere({homes}: World): boolean {
+function haveEqualTables({homes}: World): boolean {
   const tables = homes.map(home => describe(home).join('\n'));
   return new Set(tables).size === 1;
 }
 
 for (const seed of [1, 2, 3, 4]) {
-  test(`after a split of minutes all tables are the same, seed ${seed}`, async t => {
-    // Two regions lose each other for about 80 s; on both sides instances
-    // crash, restart with wrong clocks, drain, leave and move between homes,
-    // and messages are lost and doubled. After the merge every home has the
-    // same table, every node what its home has, and every living instance is
-    // there with the state it announced last.
-    const world = await play(seed);
-    t.true(isSameEverywhere(world));
+  test(`all tables are the same after a partition of minutes, seed ${seed}`, async t => {
+    // Two regions are partitioned for about 80 s. On both sides instances crash,
+    // restart with wrong clocks, drain, leave and move between homes, and messages
+    // are lost and duplicated. After the regions reconnect, all homes must have
+    // the same table, each node the table of its home, and each live instance the
+    // state that it announced last.
+    const world = await runPartition(seed);
+    t.true(haveEqualTables(world));
     const [home] = world.homes;
     for (const [index, caller] of world.callers.entries()) {
       const {registry} = world.homes[index]!;
@@ -193,15 +194,15 @@
   });
 }
 
-test('without the comparison of digests the tables stay apart', async t => {
+test('without the comparison of digests the tables remain different', async t => {
   const worlds = [
-    await play(1, {comparison: false}),
-    await play(2, {comparison: false}),
+    await runPartition(1, {comparison: false}),
+    await runPartition(2, {comparison: false}),
   ];
-  t.true(worlds.some(world => !isSameEverywhere(world)));
+  t.true(worlds.some(world => !haveEqualTables(world)));
 });
 
-/** A home dies; its nodes find others; it comes back with nothing. */
+/** A home crashes, its nodes attach to others, and it restarts empty. */
 async function restartHome(world: World): Promise<void> {
   const {mesh, random, homes, slots, callers} = world;
   const index = random.integer(homes.length);
@@ -223,12 +224,12 @@
   await mesh.move(callers[index]!, name);
 }
 
-/** Counts how often a caller lost sight of an instance that was well. */
+/** Counts how often an undisturbed instance was missing from a caller's table. */
 function watchStable(world: World): () => number {
   let lost = 0;
   for (const {table} of world.callers) {
     table.onChange(() => {
-      for (const {name, service} of world.slots.slice(0, stable)) {
+      for (const {name, service} of world.slots.slice(0, stableCount)) {
         const instances = table.instances(service);
         if (!instances.some(one => one.instance === name)) lost++;
       }
@@ -237,12 +238,15 @@
   return () => lost;
 }
 
-/** Homes die and return while instances churn and messages are lost. */
-async function playHomes(seed: number, options: Partial<RegistryOptions> = {}) {
+/** Homes crash and restart while instances change and messages are lost. */
+async function runHomeCrashes(
+  seed: number,
+  options: Partial<RegistryOptions> = {},
+) {
   const world = await startWorld(seed, options);
   const lost = watchStable(world);
   disturbMessages(world);
-  for (let turn = 0; turn < 5; turn++) {
+  for (let round = 0; round < 5; round++) {
     await churn(world, 4);
     await restartHome(world);
   }
@@ -252,17 +256,20 @@
 }
 
 for (const seed of [1, 2]) {
-  test(`homes that die and return lose no living instance, seed ${seed}`, async t => {
-    // Five homes in turn die and come back with nothing while other instances
-    // crash, restart and move. Eight instances are well all the time; only
-    // their homes die. No caller loses sight of one of them at any instant,
-    // and in the end all tables are the same. If leases ended with their
-    // homes, callers would lose them at the first death.
-    const {world, lost} = await playHomes(seed);
+  test(`homes that crash and restart lose no live instance, seed ${seed}`, async t => {
+    // Five times a home crashes and restarts empty while instances crash, restart
+    // and move. Eight instances work all the time; only their homes crash. None of
+    // the eight may be missing from a caller's table at any time, and in the end
+    // all tables must be the same. If leases ended with their homes, callers would
+    // lose these instances at the first crash.
+    const {world, lost} = await runHomeCrashes(seed);
     t.is(lost, 0);
-    t.true(isSameEverywhere(world));
+    t.true(haveEqualTables(world));
 
-    const careless = await playHomes(seed, {orphanLease: 0, expiryShare: 1});
-    t.true(careless.lost > 0);
+    const withoutOrphanLease = await runHomeCrashes(seed, {
+      orphanLease: 0,
+      expiryShare: 1,
+    });
+    t.true(withoutOrphanLease.lost > 0);
   });
 }
--- a/src/endpoints/digest.ts
+++ b/src/endpoints/digest.ts
@@ -1,8 +1,8 @@
 import murmurhash from 'murmurhash';
 
 /**
- * A digest of a set, independent of order: the exclusive or of the hashes of
- * its members, 64 bits in two halves. Adding and removing are one operation.
+ * An order-independent digest of a set: the exclusive or of its members' hashes,
+ * 64 bits in two halves. Adding and removing a member are the same operation.
  */
 export interface Digest {
   readonly low: number;
@@ -15,7 +15,7 @@
 const lowSeed = 1;
 const highSeed = 2;
 
-/** Hashes one member. */
+/** The digest of one member. */
 export function digestText(text: string): Digest {
   return {
     low: murmurhash.v3(text, lowSeed),
@@ -23,7 +23,7 @@
   };
 }
 
-/** Adds a member's digest to a set's, or takes it out again. */
+/** Adds a member's digest to a set's digest, or removes it. */
 export function toggle(set: Digest, member: Digest): Digest {
   return {
     low: (set.low ^ member.low) >>> 0,
@@ -31,7 +31,7 @@
   };
 }
 
-/** Whether two sets are taken for equal. */
+/** Whether two digests are equal, which is taken to mean that the sets are. */
 export function equalDigests(left: Digest, right: Digest): boolean {
   return left.low === right.low && left.high === right.high;
 }
--- a/src/endpoints/endpoint-table.test.ts
+++ b/src/endpoints/endpoint-table.test.ts
@@ -25,10 +25,10 @@
     known({instance: `crewbook-${index}`}),
   );
 
-test('an old copy from another home does not bring an instance back', t => {
-  // The node's home dies; the next one lags behind and still has an instance
-  // as serving that the node knows to be gone. Without the order the node
-  // would believe the later message and send work to it.
+test('an outdated record from another home does not restore an instance that is gone', t => {
+  // The node's home crashes. The next home lags behind and still lists an
+  // instance as serving that is gone in the node's table. Without the order of
+  // announcements, the later message would win and the node would send work there.
   for (const order of [false, true]) {
     const timers = createFakeTimers();
     const table = createEndpointTable({timers, safeguards: {order}});
@@ -38,10 +38,10 @@
   }
 });
 
-test('a home that came back empty does not empty its nodes', t => {
-  // A home restarts and has heard from few instances when it counts itself
-  // complete. What is missing beyond the share is kept as suspect; one that
-  // is missing alone is dropped.
+test("a home that restarted with an empty table does not empty its nodes' tables", t => {
+  // A home restarts, and few instances are announced there when it counts as
+  // complete. If more instances are absent than the share allows, they are kept
+  // as suspects; a single absent instance is removed.
   for (const expiryShare of [1, 0.25]) {
     const timers = createFakeTimers();
     const table = createEndpointTable({timers, expiryShare});
@@ -49,9 +49,12 @@
     table.mergeSection('crewbook', false, many(3));
     t.is(table.instances('crewbook').length, 8);
     table.mergeSection('crewbook', true, many(3));
-    const left = table.instances('crewbook');
-    t.is(left.length, expiryShare === 1 ? 3 : 8);
-    t.is(left.filter(one => one.suspect).length, expiryShare === 1 ? 0 : 5);
+    const remaining = table.instances('crewbook');
+    t.is(remaining.length, expiryShare === 1 ? 3 : 8);
+    t.is(
+      remaining.filter(one => one.suspect).length,
+      expiryShare === 1 ? 0 : 5,
+    );
 
     table.mergeSection('crewbook', true, many(8));
     t.is(table.instances('crewbook').filter(one => one.suspect).length, 0);
@@ -60,7 +63,7 @@
   }
 });
 
-test('suspects that nobody lists again are dropped in the end', t => {
+test('suspects that no home lists again are removed after the retention time', t => {
   const timers = createFakeTimers();
   const table = createEndpointTable({timers, absentRetention: 1000});
   table.mergeSection('crewbook', true, many(8));
@@ -71,7 +74,7 @@
   t.is(table.size(), 0);
 });
 
-test('equal tables have equal digests whatever way they were filled', t => {
+test('equal tables have equal digests in whatever order they were filled', t => {
   const timers = createFakeTimers();
   const left = createEndpointTable({timers});
   const right = createEndpointTable({timers});
@@ -87,7 +90,7 @@
   t.notDeepEqual(left.digest(), right.digest());
 });
 
-test('an instance that changes its service leaves the first', t => {
+test('an instance that changes its service is removed from the first service', t => {
   const table = createEndpointTable({timers: createFakeTimers()});
   const changed: string[] = [];
   table.mergeDelta([known()]);
@@ -98,10 +101,10 @@
   t.is(table.instances('drillvault').length, 1);
 });
 
-test('instances that left together go though their delta was lost', t => {
-  // Five of eight instances leave within one delta, and that delta is lost.
-  // If the section that mends it only lacked them, the node would hold them
-  // back as suspects for minutes and send them work. It lists them as gone.
+test('instances that left together are removed although their delta was lost', t => {
+  // Five of eight instances leave in one delta, and that delta is lost. If the
+  // section sent afterwards merely omitted them, the node would keep them as
+  // suspects for minutes and send them work. The section lists them as gone.
   for (const tombstones of [false, true]) {
     const table = createEndpointTable({timers: createFakeTimers()});
     table.mergeSection('crewbook', true, many(8));
--- a/src/endpoints/endpoint-table.ts
+++ b/src/endpoints/endpoint-table.ts
@@ -8,49 +8,49 @@
 import {allSafeguards} from './safeguards.js';
 import type {Safeguards} from './safeguards.js';
 
-/** Settings of a node's table. */
+/** Options of `createEndpointTable`; times in milliseconds. */
 export interface EndpointTableOptions {
   readonly timers: Timers;
-  /** Share of a service that may vanish from a section at once. */
+  /** Share of a service's instances that may be absent from a section at once. */
   readonly expiryShare?: number;
-  /** Milliseconds for which a gone instance is remembered. */
+  /** How long tombstones of gone instances are kept; default one day. */
   readonly tombstoneRetention?: number;
-  /** Milliseconds for which instances that vanished together are kept. */
+  /** How long instances that became absent together are kept; default 10 min. */
   readonly absentRetention?: number;
   /** For tests only. */
   readonly safeguards?: Partial<Safeguards>;
 }
 
-/** What a node knows of instances, merged from whatever home it has. */
+/** A node's table of instances, merged from the messages of its homes. */
 export interface EndpointTable extends EndpointView {
-  /** Sets the services wanted; instances of others are forgotten. */
+  /** Sets the subscribed services; instances of other services are removed. */
   subscribe(services: readonly string[] | 'all'): void;
-  /** Takes instances that changed. */
+  /** Merges instances that changed. */
   mergeDelta(instances: readonly KnownInstance[]): void;
-  /** Takes a whole service; `complete` when the home knows all of it. */
+  /** Merges a whole service; `complete` when the home has all its instances. */
   mergeSection(
     service: string,
     complete: boolean,
     instances: readonly KnownInstance[],
   ): void;
-  /** The digest of all services subscribed to. */
+  /** The digest of all subscribed services. */
   digest(): Digest;
   serviceDigests(): readonly ServiceDigest[];
-  /** Drops what was kept long enough. */
+  /** Removes entries whose retention time is over. */
   sweep(): void;
-  /** How many instances it holds, tombstones included. */
+  /** The number of instances in the table, including tombstones. */
   size(): number;
 }
 
 interface Entry {
   known: KnownInstance;
-  /** When it became gone, or missing from a section. */
+  /** When this version of the entry was added. */
   at: number;
-  /** Missing from its home's section, and kept because too many are. */
+  /** Absent from its home's section, and kept because too many are absent. */
   absent: boolean;
 }
 
-interface Group {
+interface ServiceGroup {
   readonly entries: Map<string, Entry>;
   digest: Digest;
   sorted: readonly KnownInstance[] | undefined;
@@ -59,24 +59,25 @@
 const day = 24 * 60 * 60_000;
 const defaultAbsentRetention = 10 * 60_000;
 
-/** Creates the table of a node. */
+/** Creates the instance table of a node. */
 export function createEndpointTable(
   options: EndpointTableOptions,
 ): EndpointTable {
   const {timers} = options;
-  const share = options.expiryShare ?? defaultExpiryShare;
+  const expiryShare = options.expiryShare ?? defaultExpiryShare;
   const tombstoneRetention = options.tombstoneRetention ?? day;
   const absentRetention = options.absentRetention ?? defaultAbsentRetention;
   const safeguards = {...allSafeguards, ...options.safeguards};
   const entries = new Map<string, Entry>();
-  const groups = new Map<string, Group>();
+  const groups = new Map<string, ServiceGroup>();
   const observers: Array<(service: string) => void> = [];
-  const changed = new Set<string>();
-  let wanted: ReadonlySet<string> | 'all' = 'all';
+  const changedServices = new Set<string>();
+  let subscribed: ReadonlySet<string> | 'all' = 'all';
 
-  const isWanted = (service: string) => wanted === 'all' || wanted.has(service);
+  const isSubscribed = (service: string) =>
+    subscribed === 'all' || subscribed.has(service);
 
-  function groupOf(service: string): Group {
+  function groupOf(service: string): ServiceGroup {
     let group = groups.get(service);
     if (group === undefined) {
       group = {entries: new Map(), digest: emptyDigest, sorted: undefined};
@@ -85,14 +86,14 @@
     return group;
   }
 
-  /** Counts an entry into its service's digest, or out of it. */
+  /** Adds an entry to its service's digest, or removes it from there. */
   function toggleEntry(entry: Entry): void {
     const group = groupOf(entry.known.service);
     if (!entry.absent) {
       group.digest = toggle(group.digest, digestInstance(entry.known));
     }
     group.sorted = undefined;
-    changed.add(entry.known.service);
+    changedServices.add(entry.known.service);
   }
 
   function remove(entry: Entry): void {
@@ -112,27 +113,30 @@
   }
 
   function merge(known: KnownInstance): void {
-    const held = entries.get(known.instance);
-    if (held === undefined) {
-      if (isWanted(known.service)) add(known, false);
+    const existing = entries.get(known.instance);
+    if (existing === undefined) {
+      if (isSubscribed(known.service)) add(known, false);
       return;
     }
-    const order = compareAnnouncements(known, held.known);
-    if (order < 0 && safeguards.order) return;
-    if (order === 0 && sameFlags(known, held)) return;
-    remove(held);
-    if (isWanted(known.service)) add(known, false);
+    const comparison = compareAnnouncements(known, existing.known);
+    if (comparison < 0 && safeguards.order) return;
+    if (comparison === 0 && hasSameFlags(known, existing)) return;
+    remove(existing);
+    if (isSubscribed(known.service)) add(known, false);
   }
 
   function notify(): void {
-    const services = [...changed];
-    changed.clear();
+    const services = [...changedServices];
+    changedServices.clear();
     for (const service of services) {
       for (const observe of observers) observe(service);
     }
   }
 
-  function missing(service: string, listed: readonly KnownInstance[]): Entry[] {
+  function findAbsent(
+    service: string,
+    listed: readonly KnownInstance[],
+  ): Entry[] {
     const present = new Set(listed.map(known => known.instance));
     const group = groups.get(service);
     if (group === undefined) return [];
@@ -142,16 +146,17 @@
   }
 
   /**
-   * A home whose table has come back empty would otherwise empty its nodes'
-   * tables: beyond the share the instances are kept and called suspect.
+   * Removes absent instances, or keeps them as suspects when they are more than
+   * the expiry share. Otherwise a home that restarted with an empty table would
+   * empty its nodes' tables.
    */
-  function drop(service: string, absent: readonly Entry[]): void {
+  function dropAbsent(service: string, absent: readonly Entry[]): void {
     const live = [...groupOf(service).entries.values()].filter(isLive).length;
-    const held = absent.length > allowedExpiries(live, share);
+    const isKept = absent.length > allowedExpiries(live, expiryShare);
     for (const entry of absent) {
-      if (held && entry.absent) continue;
+      if (isKept && entry.absent) continue;
       remove(entry);
-      if (held) add({...entry.known, suspect: true}, true);
+      if (isKept) add({...entry.known, suspect: true}, true);
     }
   }
 
@@ -161,7 +166,7 @@
     group.sorted ??= [...group.entries.values()]
       .filter(isLive)
       .map(entry => entry.known)
-      .sort(byInstance);
+      .sort(compareInstanceIds);
     return group.sorted;
   }
 
@@ -169,9 +174,9 @@
     instances: computeSorted,
     onChange: observe => void observers.push(observe),
     subscribe(services) {
-      wanted = services === 'all' ? 'all' : new Set(services);
+      subscribed = services === 'all' ? 'all' : new Set(services);
       for (const entry of [...entries.values()]) {
-        if (!isWanted(entry.known.service)) remove(entry);
+        if (!isSubscribed(entry.known.service)) remove(entry);
       }
       notify();
     },
@@ -181,13 +186,13 @@
     },
     mergeSection(service, complete, instances) {
       for (const known of instances) merge(known);
-      if (complete) drop(service, missing(service, instances));
+      if (complete) dropAbsent(service, findAbsent(service, instances));
       notify();
     },
     digest() {
-      let sum = emptyDigest;
-      for (const group of groups.values()) sum = toggle(sum, group.digest);
-      return sum;
+      let total = emptyDigest;
+      for (const group of groups.values()) total = toggle(total, group.digest);
+      return total;
     },
     serviceDigests() {
       const all: ServiceDigest[] = [];
@@ -201,9 +206,9 @@
       const now = timers.now();
       for (const entry of [...entries.values()]) {
         const age = now - entry.at;
-        const gone = !isLive(entry) && age >= tombstoneRetention;
-        const lost = entry.absent && age >= absentRetention;
-        if (gone || lost) remove(entry);
+        const isTombstoneOver = !isLive(entry) && age >= tombstoneRetention;
+        const isAbsenceOver = entry.absent && age >= absentRetention;
+        if (isTombstoneOver || isAbsenceOver) remove(entry);
       }
       notify();
     },
@@ -215,11 +220,11 @@
   return entry.known.state !== 'gone';
 }
 
-function sameFlags(known: KnownInstance, entry: Entry): boolean {
+function hasSameFlags(known: KnownInstance, entry: Entry): boolean {
   if (entry.absent) return false;
   return (known.suspect ?? false) === (entry.known.suspect ?? false);
 }
 
-function byInstance(left: KnownInstance, right: KnownInstance): number {
+function compareInstanceIds(left: KnownInstance, right: KnownInstance): number {
   return left.instance < right.instance ? -1 : 1;
 }
--- a/src/endpoints/fakes/mesh.ts
+++ b/src/endpoints/fakes/mesh.ts
@@ -15,65 +15,68 @@
 import {createRegistry} from '../registry.js';
 import type {Registry, RegistryOptions} from '../registry.js';
 
-/** A home of the test. */
+/** A home in a test. */
 export interface FakeHome {
   readonly name: string;
   readonly registry: Registry;
-  /** Ends it as its death would. */
+  /** Simulates a crash of the process. */
   kill(): void;
 }
 
-/** A node of the test. */
+/** A node in a test. */
 export interface FakeNode {
   readonly name: string;
   readonly announcer: Announcer;
   readonly table: EndpointTable;
   readonly membership: Membership;
-  /** Opens a link to a home; the one before is closed. */
+  /** Opens a link to a home and closes the previous one. */
   connect(home: string): Promise<void>;
-  /** Closes its link, as a lost connection would. */
+  /** Closes its link, as a lost connection does. */
   disconnect(): void;
-  /** Ends it as its death would. */
+  /** Simulates a crash of the process. */
   kill(): void;
-  /** The instances it knows of a service, as `instance:state`. */
+  /** The instances of a service in its table, as `instance:state`. */
   view(service?: string): string[];
 }
 
-/** How a node of the test differs from the usual one. */
+/** Options of a node that differ from the defaults. */
 export interface FakeNodeOptions {
   readonly gate?: string;
   readonly region?: string;
   readonly services?: readonly string[] | 'all';
-  /** Milliseconds by which its wall clock differs from the others'. */
+  /** Milliseconds by which its wall clock differs from that of other processes. */
   readonly clockOffset?: number;
   readonly warmUp?: number;
 }
 
-/** Homes and nodes in memory. */
+/** Homes and nodes on an in-memory network. */
 export interface FakeMesh {
   readonly timers: FakeTimers;
   readonly network: FakeNetwork;
-  /** Starts a home that links to all others and links again when cut off. */
+  /** Starts a home that links to all others and reconnects when a link closes. */
   home(name: string, options?: Partial<RegistryOptions>): Promise<FakeHome>;
   node(name: string, options?: FakeNodeOptions): FakeNode;
-  /** Starts a node on a home, with an upstream where one is given. */
+  /** Starts a node, announces its upstream if given, and attaches it to a home. */
   join(
     home: string,
     name: string,
-    said?: Upstream,
+    announced?: Upstream,
     options?: FakeNodeOptions,
   ): Promise<FakeNode>;
-  /** Moves a node to a home. */
+  /** Attaches a node to another home. */
   move(node: FakeNode, home: string): Promise<void>;
-  /** Moves time on, letting promises settle. */
+  /** Advances the time and lets promises settle. */
   advance(duration: number): Promise<void>;
 }
 
+/** Milliseconds. */
 export const lease = 10_000;
+/** Milliseconds between renewals. */
 export const renewal = 2000;
-const redial = 1000;
+/** Milliseconds between attempts of a home to connect to other homes. */
+const redialInterval = 1000;
 
-/** What an upstream of the test says of itself. */
+/** The announcement of an upstream in a test. */
 export function upstream(fields: Partial<Upstream> = {}): Upstream {
   return {
     service: 'crewbook',
@@ -108,24 +111,26 @@
       ...safeguards,
       ...options,
     });
-    const own = network.from(name);
-    const open = new Set<string>();
-    await own.listen(`${name}:nodes`, link =>
+    const ownNetwork = network.from(name);
+    const connected = new Set<string>();
+    await ownNetwork.listen(`${name}:nodes`, link =>
       registry.accept(createChannels(link)),
     );
-    await own.listen(`${name}:peers`, link =>
+    await ownNetwork.listen(`${name}:peers`, link =>
       registry.peer(createChannels(link)),
     );
 
     async function dial(other: string): Promise<void> {
-      if (open.has(other)) return;
-      open.add(other);
+      if (connected.has(other)) return;
+      connected.add(other);
       try {
-        const channels = createChannels(await own.connect(`${other}:peers`));
-        channels.onClose(() => open.delete(other));
+        const channels = createChannels(
+          await ownNetwork.connect(`${other}:peers`),
+        );
+        channels.onClose(() => connected.delete(other));
         registry.peer(channels);
       } catch {
-        open.delete(other);
+        connected.delete(other);
       }
     }
 
@@ -134,12 +139,12 @@
     };
     if (!names.includes(name)) names.push(name);
     dialAll();
-    const dialing = timers.every(redial, dialAll);
+    const dialTimer = timers.every(redialInterval, dialAll);
     return {
       name,
       registry,
       kill() {
-        dialing.cancel();
+        dialTimer.cancel();
         registry.close();
         network.kill(name);
       },
@@ -198,9 +203,9 @@
     network,
     home: startHome,
     node: startNode,
-    async join(home, name, said, options) {
+    async join(home, name, announced, options) {
       const node = startNode(name, options);
-      if (said !== undefined) node.announcer.announce(said);
+      if (announced !== undefined) node.announcer.announce(announced);
       await move(node, home);
       return node;
     },
@@ -209,7 +214,7 @@
   };
 }
 
-/** Timers whose wall clock is wrong by `offset` milliseconds. */
+/** Timers whose wall clock is off by `offset` milliseconds. */
 function createOffsetTimers(timers: Timers, offset: number): Timers {
   return Object.assign(Object.create(timers) as Timers, {
     wall: () => timers.wall() + offset,
--- a/src/endpoints/health-monitor.test.ts
+++ b/src/endpoints/health-monitor.test.ts
@@ -19,36 +19,40 @@
     log: createSilentLog(),
     warmUp: 0,
   });
-  let seen: Observation = 'well';
-  const health = createHealthMonitor({timers, announcer, probe: async () => seen});
+  let probed: Observation = 'well';
+  const health = createHealthMonitor({
+    timers,
+    announcer,
+    probe: async () => probed,
+  });
   announcer.announce(upstream());
   timers.advance(1);
   return {
     announcer,
     health,
     state: () => announcer.current()!.state,
-    async see(observation: Observation, seconds: number) {
-      seen = observation;
+    async probeFor(observation: Observation, seconds: number) {
+      probed = observation;
       await timers.advanceAsync(seconds * 1000);
     },
   };
 }
 
-test('an unwell answer alone takes nothing out of service', async t => {
-  const {health, state, see} = start();
-  await see('unwell', 60);
+test('a failed health check alone does not take an upstream out of service', async t => {
+  const {health, state, probeFor} = start();
+  await probeFor('unwell', 60);
   t.is(health.verdict(), 'doubtful');
   t.is(state(), 'serving');
   health.observe('answered');
   t.is(health.verdict(), 'ready');
 });
 
-test('refused connections take a dead upstream out though health says well', async t => {
-  // The upstream's port is closed while something else still answers its
-  // health path. The gate's own connections are refused, three in a row
-  // between two looks, and the instance is gone.
-  const {health, state, see} = start();
-  await see('well', 5);
+test('refused connections take a dead upstream out of service though its health check succeeds', async t => {
+  // The upstream's port is closed while another process still answers its health
+  // path. Three consecutive connections of the gate are refused between two
+  // probes, so the instance is gone.
+  const {health, state, probeFor} = start();
+  await probeFor('well', 5);
   const refusal = Object.assign(new Error(), {code: 'ECONNREFUSED'});
   const slow = Object.assign(new Error(), {code: 'UND_ERR_CONNECT_TIMEOUT'});
   for (let turn = 0; turn < 3; turn++) health.observeConnection(slow);
@@ -58,7 +62,7 @@
   t.is(state(), 'gone');
 });
 
-test('single refusals between answers are no death', async t => {
+test('refusals with answers in between do not make an upstream dead', async t => {
   const {health, state} = start();
   for (let turn = 0; turn < 10; turn++) {
     health.observe('refused');
@@ -68,19 +72,19 @@
   t.is(state(), 'serving');
 });
 
-test('a dead upstream that takes connections again is a new incarnation', async t => {
-  const {announcer, state, see} = start();
+test('a dead upstream that accepts connections again is a new incarnation', async t => {
+  const {announcer, state, probeFor} = start();
   const first = announcer.current()!.incarnation;
-  await see('refused', 4);
+  await probeFor('refused', 4);
   t.is(state(), 'gone');
   announcer.announce(upstream());
   t.is(state(), 'gone');
-  await see('well', 1);
+  await probeFor('well', 1);
   t.is(state(), 'serving');
   t.true(announcer.current()!.incarnation > first);
 });
 
-test('the probe tells a refusal from a bad answer', async t => {
+test('the probe distinguishes a refused connection from a failed health check', async t => {
   const server = createServer((incoming, response) => {
     response.statusCode = incoming.url === '/health' ? 200 : 503;
     response.end();
--- a/src/endpoints/leases.test.ts
+++ b/src/endpoints/leases.test.ts
@@ -22,7 +22,7 @@
 const countSuspects = (node: FakeNode) =>
   node.view().filter(one => one.endsWith(':suspect')).length;
 
-test('the lease of a single crashed instance runs out', async t => {
+test('the lease of a single crashed instance expires', async t => {
   for (const size of [1, 3, 9]) {
     const mesh = createFakeMesh();
     await mesh.home('home-a');
@@ -37,7 +37,7 @@
   }
 });
 
-test('an instance that goes silent with its link open loses its lease', async t => {
+test('an instance that stops renewing while its link is open loses its lease', async t => {
   const mesh = createFakeMesh();
   await mesh.home('home-a');
   const caller = await mesh.join('home-a', 'caller');
@@ -47,8 +47,8 @@
   t.deepEqual(caller.view(), ['crewbook-2:serving', 'crewbook-3:serving']);
 });
 
-/** Cuts the renewals of all instances at once; nothing else has failed. */
-async function massSilence(options: Partial<RegistryOptions>) {
+/** Drops the renewals of all instances at once; nothing else has failed. */
+async function loseAllRenewals(options: Partial<RegistryOptions>) {
   const mesh = createFakeMesh(0, options);
   await mesh.home('home-a');
   const caller = await mesh.join('home-a', 'caller');
@@ -59,25 +59,25 @@
   return {mesh, caller, nodes};
 }
 
-test('leases that run out together are held back', async t => {
-  // A switch drops the renewals of all nine instances, which go on serving.
-  // Without the share all nine are declared gone and callers are refused
-  // though nothing is wrong with the upstreams. With it all are kept, marked
-  // as suspects, and are plain again after their next renewal.
-  const open = await massSilence({expiryShare: 1});
-  t.deepEqual(open.caller.view(), []);
+test('instances whose leases expire together are kept as suspects', async t => {
+  // A switch drops the renewals of all nine instances, which continue to serve.
+  // Without the expiry share all nine are declared gone and callers are refused
+  // although the upstreams work. With it all are kept as suspects, and no longer
+  // suspects after their next renewal.
+  const withoutShare = await loseAllRenewals({expiryShare: 1});
+  t.deepEqual(withoutShare.caller.view(), []);
 
-  const held = await massSilence({});
-  t.is(countSuspects(held.caller), 9);
-  held.mesh.network.heal();
-  for (const node of held.nodes) await held.mesh.move(node, 'home-a');
-  await held.mesh.advance(3 * second);
-  t.is(countSuspects(held.caller), 0);
-  t.is(held.caller.view().length, 9);
+  const withShare = await loseAllRenewals({});
+  t.is(countSuspects(withShare.caller), 9);
+  withShare.mesh.network.heal();
+  for (const node of withShare.nodes) await withShare.mesh.move(node, 'home-a');
+  await withShare.mesh.advance(3 * second);
+  t.is(countSuspects(withShare.caller), 0);
+  t.is(withShare.caller.view().length, 9);
 });
 
-test('nodes whose connections fail clear the suspects that are dead', async t => {
-  const {mesh, caller, nodes} = await massSilence({});
+test('reports of nodes whose connections fail remove the suspects that are dead', async t => {
+  const {mesh, caller, nodes} = await loseAllRenewals({});
   const other = await mesh.join('home-a', 'caller-2');
   const dead = nodes.slice(0, 4).map(node => node.announcer.current()!);
   const report = (witness: FakeNode) => {
@@ -93,8 +93,8 @@
   t.is(caller.view().length, 5);
 });
 
-/** A home dies; its nodes find another some seconds later. */
-async function homeDeath(options: Partial<RegistryOptions>): Promise<number> {
+/** A home crashes; its nodes attach to another some seconds later. */
+async function crashHome(options: Partial<RegistryOptions>): Promise<number> {
   const mesh = createFakeMesh(0, options);
   const dying = await mesh.home('home-a');
   await mesh.home('home-b');
@@ -103,25 +103,25 @@
   await startInstances(mesh, 'home-b', 7, 'other');
   await mesh.advance(5 * second);
   dying.kill();
-  let fewest = 9;
+  let minSeen = 9;
   for (let tick = 0; tick < 8; tick++) {
     await mesh.advance(second);
-    fewest = Math.min(fewest, caller.view().length);
+    minSeen = Math.min(minSeen, caller.view().length);
   }
   for (const node of nodes) await mesh.move(node, 'home-b');
   await mesh.advance(60 * second);
-  return Math.min(fewest, caller.view().length);
+  return Math.min(minSeen, caller.view().length);
 }
 
-test('the death of a home removes no upstream', async t => {
-  // A home dies with the leases of two instances; they serve on and find
-  // another home eight seconds later. If a lease ended with its home, callers
-  // would lose both meanwhile. An orphan's lease outlives the move.
-  t.is(await homeDeath({orphanLease: 0, expiryShare: 1}), 7);
-  t.is(await homeDeath({}), 9);
+test('the crash of a home removes no upstream', async t => {
+  // A home with the leases of two instances crashes. The instances continue to
+  // serve and attach to another home eight seconds later. If a lease ended with
+  // its home, callers would lose both until then. The orphan lease is longer.
+  t.is(await crashHome({orphanLease: 0, expiryShare: 1}), 7);
+  t.is(await crashHome({}), 9);
 });
 
-test('an instance that dies together with its home goes as an orphan', async t => {
+test('an instance that crashes together with its home is removed after its orphan lease', async t => {
   const mesh = createFakeMesh();
   const dying = await mesh.home('home-a');
   await mesh.home('home-b');
@@ -135,9 +135,11 @@
   t.is(caller.view().length, 5);
 });
 
-/** One link of the mesh is cut; both its homes and their nodes are well. */
-async function lostLink(vouching: boolean): Promise<number> {
-  const mesh = createFakeMesh(0, {safeguards: {indirectReachability: vouching}});
+/** One link of the mesh is cut; both its homes and their nodes work. */
+async function cutLink(indirectReachability: boolean): Promise<number> {
+  const mesh = createFakeMesh(0, {
+    safeguards: {indirectReachability: indirectReachability},
+  });
   await mesh.home('home-a');
   await mesh.home('home-b');
   await mesh.home('home-c');
@@ -154,28 +156,28 @@
   return gone;
 }
 
-test('a home that another home still hears is not taken for dead', async t => {
-  // One of three links between homes is cut. The home at its end sees the
-  // other's instance as an orphan and, asking nobody, declares it gone; the
-  // holder has its node refute that, and it flaps. Asked, the third home says
-  // that it still hears the holder.
-  t.true((await lostLink(false)) > 0);
-  t.is(await lostLink(true), 0);
+test('a home that another home can still reach is not presumed dead', async t => {
+  // One of three links between homes is cut. Without information from the third
+  // home, the home at one end treats the other's instance as an orphan and
+  // declares it gone; the instance's node refutes that, and the instance flaps.
+  // The third home reports that it is still linked to the lease holder.
+  t.true((await cutLink(false)) > 0);
+  t.is(await cutLink(true), 0);
 });
 
-/** Two regions lose each other; returns what each side's caller sees. */
-async function regionCut(region: boolean) {
+/** Two regions are partitioned; returns the caller's view during and after. */
+async function partitionRegions(region: boolean) {
   const mesh = createFakeMesh(0, {safeguards: {region}, expiryShare: 1});
   const near = await mesh.home('home-a', {region: 'astana'});
   const far = await mesh.home('home-b', {region: 'muscat'});
   const caller = await mesh.join('home-a', 'caller');
   await startInstances(mesh, 'home-a', 2);
-  const [leaver] = await startInstances(mesh, 'home-b', 3, 'far');
+  const [leavingNode] = await startInstances(mesh, 'home-b', 3, 'far');
   await mesh.advance(5 * second);
   mesh.network.cut('home-a', 'home-b');
   mesh.network.cut('home-b', 'home-a');
   await mesh.advance(100 * second);
-  leaver!.announcer.withdraw();
+  leavingNode!.announcer.withdraw();
   await mesh.join('home-b', 'far-4', upstream());
   await mesh.join('home-a', 'crewbook-3', upstream());
   await mesh.advance(100 * second);
@@ -185,19 +187,19 @@
   return {during, after: caller.view(), near, far};
 }
 
-test('a region that is cut off goes on by itself and merges', async t => {
-  // Regions lose each other for minutes; on both sides instances come and go.
-  // If a home may declare another region's instances gone, callers lose every
-  // one of them though a gate may still be reached. Kept as suspects, they
-  // are plain again when the regions merge, less the one that left meanwhile.
-  const free = await regionCut(false);
+test('a region that is cut off continues by itself and merges afterwards', async t => {
+  // Two regions are partitioned for minutes, and instances start and leave on
+  // both sides. If a home may declare another region's instances gone, callers
+  // lose all of them although their gates may be reachable. Kept as suspects,
+  // they serve again when the regions reconnect, except the one that left.
+  const unrestricted = await partitionRegions(false);
   t.deepEqual(
-    free.during.filter(one => one.startsWith('far')),
+    unrestricted.during.filter(one => one.startsWith('far')),
     [],
   );
 
-  const kept = await regionCut(true);
-  t.deepEqual(kept.during, [
+  const restricted = await partitionRegions(true);
+  t.deepEqual(restricted.during, [
     'crewbook-1:serving',
     'crewbook-2:serving',
     'crewbook-3:serving',
@@ -205,7 +207,7 @@
     'far-2:suspect',
     'far-3:suspect',
   ]);
-  t.deepEqual(kept.after, [
+  t.deepEqual(restricted.after, [
     'crewbook-1:serving',
     'crewbook-2:serving',
     'crewbook-3:serving',
@@ -213,7 +215,7 @@
     'far-3:serving',
     'far-4:serving',
   ]);
-  const tables = [kept.near, kept.far].map(sortedTable);
+  const tables = [restricted.near, restricted.far].map(sortedTable);
   t.deepEqual(tables[0], tables[1]);
 });
 
@@ -223,8 +225,8 @@
     .map(({announcement}) => JSON.stringify({...announcement, since: 0}));
 }
 
-/** An id is taken over while its last owner's lease is held back. */
-async function takeOver(contest: boolean): Promise<number> {
+/** A new VM uses an id whose previous owner is kept as a suspect. */
+async function reuseInstanceId(contest: boolean): Promise<number> {
   const mesh = createFakeMesh(7_200_000, {safeguards: {contest}});
   await mesh.home('home-a');
   await mesh.home('home-b');
@@ -245,19 +247,19 @@
     .length;
 }
 
-test('a clock far ahead does not lock out the successor', async t => {
-  // An instance whose clock was an hour ahead dies and a new VM takes its id
-  // at another address, while other leases of the service are due as well and
-  // the dead one is held back. The successor's announcements look older, and
-  // another live process seems to own the id: without a contest it waits for
-  // as long as the dead one is held. Contested, the dead one has two renewals'
-  // time to show itself; it doesn't, and the successor rises above it.
-  t.is(await takeOver(false), 0);
-  t.is(await takeOver(true), 1);
+test('an instance whose clock was far ahead does not lock out its successor', async t => {
+  // An instance whose clock was an hour ahead crashes, and a new VM uses its id at
+  // another address. Other leases of the service have expired too, so the crashed
+  // instance is kept as a suspect. The successor's announcements look older, and
+  // another live process seems to use the id, so without a contest it waits as
+  // long as the suspect is kept. With a contest the suspect has two renewal
+  // intervals to renew; it does not, and the successor supersedes it.
+  t.is(await reuseInstanceId(false), 0);
+  t.is(await reuseInstanceId(true), 1);
 });
 
-/** A VM is replaced: its address comes back under another instance id. */
-async function replacedAddress(contest: boolean): Promise<string[]> {
+/** A VM is replaced, and its address is reused under another instance id. */
+async function reuseAddress(contest: boolean): Promise<string[]> {
   const mesh = createFakeMesh(0, {safeguards: {contest}});
   await mesh.home('home-a');
   await mesh.home('home-b');
@@ -270,17 +272,21 @@
   return caller.view();
 }
 
-test('of two instances at one address the one that renews stays', async t => {
-  // A VM vanishes without closing its links and its address is given to a new
-  // one. For the rest of the old lease callers would see one gate as two
-  // instances and send it a double share. The contest ends that sooner.
-  t.is((await replacedAddress(false)).length, 2);
-  t.deepEqual(await replacedAddress(true), ['crewbook-2:serving']);
+test('of two instances at one address the one that renews is kept', async t => {
+  // A VM disappears without closing its links, and its address is assigned to a
+  // new VM. Until the old lease expires, callers would see one gate as two
+  // instances and send it a double share. The contest ends that earlier.
+  t.is((await reuseAddress(false)).length, 2);
+  t.deepEqual(await reuseAddress(true), ['crewbook-2:serving']);
 });
 
-/** A home judges a contest over an instance whose holder it cannot reach. */
-async function unreachableHolder(vouching: boolean): Promise<number> {
-  const mesh = createFakeMesh(0, {safeguards: {indirectReachability: vouching}});
+/** An instance is contested at a home that cannot reach its lease holder. */
+async function contestWithoutHolder(
+  indirectReachability: boolean,
+): Promise<number> {
+  const mesh = createFakeMesh(0, {
+    safeguards: {indirectReachability: indirectReachability},
+  });
   for (const name of ['home-a', 'home-b', 'home-c']) await mesh.home(name);
   mesh.network.cut('home-a', 'home-b');
   mesh.network.cut('home-b', 'home-a');
@@ -299,16 +305,16 @@
   return gone;
 }
 
-test('a contest is judged where the lease is renewed', async t => {
-  // Two instances claim one address; the one that lives renews at a home to
-  // which the caller's home has no link. Judging by itself, the caller's home
-  // sees no renewal and declares it gone. It asks the third home, which still
-  // hears the holder, and leaves the judgement there.
-  t.true((await unreachableHolder(false)) > 0);
-  t.is(await unreachableHolder(true), 0);
+test('a contest is decided at the home where the lease is renewed', async t => {
+  // Two instances announce one address. The live one renews at a home to which
+  // the caller's home has no link. By itself the caller's home would see no
+  // renewal and declare it gone. The third home reports that it is linked to the
+  // lease holder, so the caller's home leaves the decision to that.
+  t.true((await contestWithoutHolder(false)) > 0);
+  t.is(await contestWithoutHolder(true), 0);
 });
 
-test('two live processes under one id do not fight for it', async t => {
+test('two live processes with one id do not alternate', async t => {
   const mesh = createFakeMesh();
   await mesh.home('home-a');
   const caller = await mesh.join('home-a', 'caller');
--- a/src/endpoints/leases.ts
+++ b/src/endpoints/leases.ts
@@ -6,7 +6,7 @@
 import type {RecordEntry, RecordStore} from './record-store.js';
 import type {Safeguards} from './safeguards.js';
 
-/** Settings of a home's leases; times in milliseconds. */
+/** Options of `createLeases`; times in milliseconds, see `RegistryOptions`. */
 export interface LeasesOptions {
   readonly name: string;
   readonly region: string;
@@ -24,74 +24,78 @@
   readonly safeguards: Safeguards;
 }
 
-/** Decides when an instance that is no longer heard of counts as gone. */
+/** Decides when an instance without renewals counts as gone. */
 export interface Leases {
-  /** Renews the lease of an instance that this home holds. */
+  /** Renews the lease of an instance attached to this home. */
   renew(instance: string): void;
   /** Shortens the lease of an instance whose node's link has closed. */
   onLinkClosed(instance: string): void;
-  /** Counts a node's evidence against an instance that is held back. */
+  /** Counts a node's report against an instance that is a suspect. */
   witness(report: UnreachableReport): void;
   /**
-   * Another process claims the instance's id or gate: unless its node renews
-   * within the contest's lease it is gone, however many others are due.
+   * Shortens the lease because another process announces the instance's id or
+   * gate. Unless its node renews within the contest lease, the instance is gone,
+   * however many other leases have expired.
    */
   contest(instance: string): void;
-  /** Expires, or holds back, what is due. */
+  /** Expires instances whose leases have ended, or marks them as suspects. */
   sweep(): void;
 }
 
+/** Milliseconds. */
 const defaultExpiryWindow = 60_000;
 const defaultWitnesses = 2;
 /** Milliseconds for which a node's report counts. */
 const reportLifetime = 30_000;
-/** Expiries of all services together that are always believed. */
-const smallHerd = 8;
+/** Number of expiries over all services up to which they are never held back. */
+const smallHerdSize = 8;
 
 /** Creates a home's leases. */
 export function createLeases(options: LeasesOptions): Leases {
   const {name, region, timers, store, peers} = options;
-  const share = options.expiryShare ?? defaultExpiryShare;
-  const window = options.expiryWindow ?? defaultExpiryWindow;
-  const witnesses = options.requiredWitnesses ?? defaultWitnesses;
-  const until = new Map<string, number>();
+  const expiryShare = options.expiryShare ?? defaultExpiryShare;
+  const expiryWindow = options.expiryWindow ?? defaultExpiryWindow;
+  const requiredWitnesses = options.requiredWitnesses ?? defaultWitnesses;
+  const expiresAt = new Map<string, number>();
   const reports = new Map<string, Map<string, number>>();
-  /** When the lease of a contested instance ends. */
+  /** When the contest lease of each contested instance ends. */
   const contested = new Map<string, number>();
 
-  /** Whether an instance has run out, by what this home can know. */
-  function isDue(entry: RecordEntry): boolean {
+  /** Whether the lease of an instance has expired, as far as this home can tell. */
+  function isExpired(entry: RecordEntry): boolean {
     const {instance} = entry.announcement;
-    if (entry.home === name) return isOwnDue(instance);
+    if (entry.home === name) return isLocalLeaseExpired(instance);
     if (peers.linked(entry.home)) {
       contested.delete(instance);
       return false;
     }
-    const absence = peers.unreachableFor(entry.home);
-    if (isContestOver(instance)) return absence >= options.contestLease;
-    return absence >= options.orphanLease;
+    const unreachableFor = peers.unreachableFor(entry.home);
+    if (isContestLost(instance)) return unreachableFor >= options.contestLease;
+    return unreachableFor >= options.orphanLease;
   }
 
   /**
-   * A record that names this home, which does not hold it, dates from before
-   * a restart of this home. Its node gets an orphan's time to come back.
+   * Whether a lease at this home has expired. A record that names this home but
+   * has no lease here dates from before a restart of this home; its node gets an
+   * orphan lease to attach again.
    */
-  function isOwnDue(instance: string): boolean {
-    const end = until.get(instance);
-    if (isContestOver(instance)) return true;
+  function isLocalLeaseExpired(instance: string): boolean {
+    const end = expiresAt.get(instance);
+    if (isContestLost(instance)) return true;
     if (end !== undefined) return end <= timers.now();
-    until.set(instance, timers.now() + options.orphanLease);
+    expiresAt.set(instance, timers.now() + options.orphanLease);
     return false;
   }
 
   /**
-   * Another region's instances are that region's to declare gone. While it is
-   * cut off they are only suspects here, so the merge takes none away.
+   * Whether this home may declare an instance gone. Only homes of its own region
+   * may; while that region is cut off, its instances are only suspects here, so
+   * that none is lost when the regions reconnect.
    */
   const mayExpire = (entry: RecordEntry) =>
     entry.homeRegion === region || !options.safeguards.region;
 
-  function isContestOver(instance: string): boolean {
+  function isContestLost(instance: string): boolean {
     const end = contested.get(instance);
     return end !== undefined && end <= timers.now();
   }
@@ -109,7 +113,10 @@
     }
   }
 
-  /** One process binds an address, so of two instances at a gate one is dead. */
+  /**
+   * Contests all instances at the entry's gate when there are several: only one
+   * process can bind an address, so the others are dead.
+   */
   function contestGate(entry: RecordEntry): void {
     if (entry.goneAt !== undefined) return;
     const rivals = store.liveAtGate(entry.announcement.gate);
@@ -128,7 +135,7 @@
       expired: true,
       goneFor: 0,
     };
-    until.delete(announcement.instance);
+    expiresAt.delete(announcement.instance);
     contested.delete(announcement.instance);
     reports.delete(announcement.instance);
     options.log.info('lease ran out', {
@@ -139,7 +146,7 @@
   }
 
   function recentlyExpired(entries: Iterable<RecordEntry>): number {
-    const since = timers.now() - window;
+    const since = timers.now() - expiryWindow;
     let count = 0;
     for (const entry of entries) {
       if (entry.goneAt === undefined || !mayExpire(entry)) continue;
@@ -157,82 +164,83 @@
   }
 
   /**
-   * When many leases run out together it is more likely that renewals are
-   * lost than that so many instances died at once. Taking them all away would
-   * leave callers with none. They are kept as suspects, and the nodes' own
-   * connections decide.
+   * Whether too many leases of a service expire together. It is then more likely
+   * that renewals are lost than that all these instances crashed, and removing
+   * them could leave callers without any. They are kept as suspects, and the
+   * nodes' own connections decide.
    */
-  function isMass(service: string, due: number): boolean {
+  function isMassExpiry(service: string, expired: number): boolean {
     const recent = recentlyExpired(store.ofService(service));
     const total = countLive(store.ofService(service)) + recent;
-    return due + recent > allowedExpiries(total, share);
+    return expired + recent > allowedExpiries(total, expiryShare);
   }
 
-  /** The same for all services together, which may have one instance each. */
-  function isHerd(due: number): boolean {
+  /** The same for all services together, as each may have only one instance. */
+  function isHerdExpiry(expired: number): boolean {
     const recent = recentlyExpired(store.entries());
-    const allowed = (countLive(store.entries()) + recent) * share;
-    return due + recent > Math.max(smallHerd, allowed);
+    const allowed = (countLive(store.entries()) + recent) * expiryShare;
+    return expired + recent > Math.max(smallHerdSize, allowed);
   }
 
-  function collectDue(): RecordEntry[] {
-    const due: RecordEntry[] = [];
+  function collectExpired(): RecordEntry[] {
+    const expired: RecordEntry[] = [];
     for (const entry of store.entries()) {
       if (entry.goneAt !== undefined) continue;
-      if (isDue(entry)) due.push(entry);
+      if (isExpired(entry)) expired.push(entry);
       else store.setSuspect(entry.announcement.instance, false);
     }
-    return due;
+    return expired;
   }
 
   function sweep(): void {
-    const doubtful: RecordEntry[] = [];
-    for (const entry of collectDue()) {
-      if (!mayExpire(entry)) suspect(entry);
-      else if (isProved(entry)) expire(entry);
-      else doubtful.push(entry);
+    const unproved: RecordEntry[] = [];
+    for (const entry of collectExpired()) {
+      if (!mayExpire(entry)) markSuspect(entry);
+      else if (hasProof(entry)) expire(entry);
+      else unproved.push(entry);
     }
-    if (doubtful.length > 0) settle(doubtful);
-    forgetReports();
+    if (unproved.length > 0) expireOrSuspect(unproved);
+    dropOldReports();
   }
 
-  /** Expires what is due, service by service, or holds it back as suspect. */
-  function settle(doubtful: readonly RecordEntry[]): void {
+  /** Expires instances service by service, or keeps them as suspects. */
+  function expireOrSuspect(unproved: readonly RecordEntry[]): void {
     const counts = new Map<string, number>();
-    for (const {announcement} of doubtful) {
+    for (const {announcement} of unproved) {
       const {service} = announcement;
       counts.set(service, (counts.get(service) ?? 0) + 1);
     }
-    const herd = isHerd(doubtful.length);
-    const held = new Set<string>();
+    const isHerd = isHerdExpiry(unproved.length);
+    const heldServices = new Set<string>();
     for (const [service, count] of counts) {
-      if (herd || isMass(service, count)) held.add(service);
+      if (isHerd || isMassExpiry(service, count)) heldServices.add(service);
     }
-    for (const entry of doubtful) {
-      if (held.has(entry.announcement.service)) suspect(entry);
+    for (const entry of unproved) {
+      if (heldServices.has(entry.announcement.service)) markSuspect(entry);
       else expire(entry);
     }
   }
 
-  const suspect = (entry: RecordEntry) =>
+  const markSuspect = (entry: RecordEntry) =>
     store.setSuspect(entry.announcement.instance, true);
 
-  /** Whether more than lost renewals speak against an instance that is due. */
-  function isProved(entry: RecordEntry): boolean {
+  /** Whether there is more evidence against an instance than missing renewals. */
+  function hasProof(entry: RecordEntry): boolean {
     const {instance} = entry.announcement;
-    return isContestOver(instance) || isWitnessed(entry);
+    return isContestLost(instance) || isWitnessed(entry);
   }
 
   function isWitnessed(entry: RecordEntry): boolean {
-    const heard = reports.get(entry.announcement.instance);
-    return heard !== undefined && heard.size >= witnesses;
+    const witnessTimes = reports.get(entry.announcement.instance);
+    return witnessTimes !== undefined && witnessTimes.size >= requiredWitnesses;
   }
 
-  function forgetReports(): void {
+  function dropOldReports(): void {
     const since = timers.now() - reportLifetime;
-    for (const [instance, heard] of reports) {
-      for (const [witness, at] of heard) if (at < since) heard.delete(witness);
-      if (heard.size === 0) reports.delete(instance);
+    for (const [instance, witnessTimes] of reports) {
+      for (const [witness, at] of witnessTimes)
+        if (at < since) witnessTimes.delete(witness);
+      if (witnessTimes.size === 0) reports.delete(instance);
     }
   }
 
@@ -245,15 +253,16 @@
       return;
     }
     if (!entry.suspect) return;
-    const heard = reports.get(report.instance) ?? new Map<string, number>();
-    heard.set(report.witness, timers.now());
-    reports.set(report.instance, heard);
+    const witnessTimes =
+      reports.get(report.instance) ?? new Map<string, number>();
+    witnessTimes.set(report.witness, timers.now());
+    reports.set(report.instance, witnessTimes);
   }
 
-  function shorten(instance: string, left: number): void {
-    const end = until.get(instance);
+  function shorten(instance: string, duration: number): void {
+    const end = expiresAt.get(instance);
     if (end === undefined) return;
-    until.set(instance, Math.min(end, timers.now() + left));
+    expiresAt.set(instance, Math.min(end, timers.now() + duration));
   }
 
   store.onChange((entry, before) => {
@@ -261,7 +270,7 @@
     const {instance} = entry.announcement;
     contested.delete(instance);
     if (entry.home !== name || entry.goneAt !== undefined) {
-      until.delete(instance);
+      expiresAt.delete(instance);
     }
     contestGate(entry);
   });
@@ -269,7 +278,7 @@
   return {
     renew(instance) {
       if (store.get(instance)?.home !== name) return;
-      until.set(instance, timers.now() + options.lease);
+      expiresAt.set(instance, timers.now() + options.lease);
       contested.delete(instance);
       store.setSuspect(instance, false);
     },
--- a/src/endpoints/lifecycle.ts
+++ b/src/endpoints/lifecycle.ts
@@ -1,13 +1,13 @@
 import {createMachine, interpret, state, transition} from 'robot3';
 import type {InstanceState} from './messages.js';
 
-/** What moves an instance from state to state. */
+/** An event that changes the state of an instance. */
 export type LifecycleEvent = 'warmed' | 'drain' | 'resume' | 'leave';
 
-/** The life of one incarnation; `gone` is its end. */
+/** The lifecycle of one incarnation; `gone` is its final state. */
 export interface Lifecycle {
   state(): InstanceState;
-  /** Takes an event; false when it means nothing in this state. */
+  /** Applies an event; false when it does not change the current state. */
   apply(event: LifecycleEvent): boolean;
 }
 
@@ -22,7 +22,7 @@
   gone: state(),
 });
 
-/** Creates the life of an instance that has just been announced. */
+/** Creates the lifecycle of an instance that has just been announced. */
 export function createLifecycle(): Lifecycle {
   const service = interpret(machine, () => {});
   const current = () => service.machine.current as InstanceState;
--- a/src/endpoints/membership.ts
+++ b/src/endpoints/membership.ts
@@ -11,7 +11,7 @@
 } from './messages.js';
 import {convertSince} from './since-conversion.js';
 
-/** Settings of a node's part in membership. */
+/** Options of `createMembership`. */
 export interface MembershipOptions {
   readonly announcer: Announcer;
   readonly table: EndpointTable;
@@ -22,25 +22,25 @@
   readonly services?: readonly string[] | 'all';
 }
 
-/** Keeps the node's announcement and its table in step with its home. */
+/** Synchronizes a node's announcement and instance table with its home. */
 export interface Membership {
-  /** Takes a link to a home; the one before is no longer listened to. */
+  /** Uses this link from now on; messages of the previous one are ignored. */
   attach(channels: Channels): void;
-  /** Sets the services that the node calls. */
+  /** Sets the subscribed services. */
   subscribe(services: readonly string[] | 'all'): void;
-  /** Tells the home that connections to an instance fail. */
+  /** Reports to the home that connections to an instance fail. */
   reportUnreachable(instance: string, incarnation: number): void;
-  /** Stops renewing; what was announced stays until it is taken back. */
+  /** Stops renewing; the announcement stays until it is withdrawn or expires. */
   close(): void;
 }
 
-/** Milliseconds between two reports of one instance. */
+/** Minimum time in milliseconds between two reports of one instance. */
 const reportInterval = 5000;
 
-/** Creates a node's part in membership. */
+/** Creates the membership of a node. */
 export function createMembership(options: MembershipOptions): Membership {
   const {announcer, table, timers, renewal} = options;
-  const reports = new Map<string, number>();
+  const reportedAt = new Map<string, number>();
   let services = options.services ?? 'all';
   let channel: Channel | undefined;
 
@@ -53,11 +53,11 @@
       return;
     }
     const digests = new Map(known.map(one => [one.service, one.digest]));
-    const wanted = services.map(service => ({
+    const requested = services.map(service => ({
       service,
       digest: digests.get(service) ?? {low: 0, high: 0},
     }));
-    send({kind: 'subscribe', all: false, services: wanted});
+    send({kind: 'subscribe', all: false, services: requested});
   }
 
   function renew(): void {
@@ -73,19 +73,19 @@
   function receive(message: HomeMessage): void {
     switch (message.kind) {
       case 'refuted':
-        return announcer.supersede(received(message.known));
+        return announcer.supersede(fromMessage(message.known));
       case 'announce-again':
         return announceAgain();
       case 'section':
         return table.mergeSection(
           message.service,
           message.complete,
-          message.instances.map(received),
+          message.instances.map(fromMessage),
         );
       case 'delta':
-        return table.mergeDelta(message.instances.map(received));
+        return table.mergeDelta(message.instances.map(fromMessage));
       case 'renewed':
-        // A delta that was lost shows here, one renewal later at most.
+        // Detects a lost delta after at most one renewal interval.
         if (message.complete && !equalDigests(message.digest, table.digest())) {
           sendSubscription();
         }
@@ -104,33 +104,34 @@
     });
   }
 
-  const received = (known: KnownInstance) => convertSince(known, timers.wall());
+  const fromMessage = (known: KnownInstance) =>
+    convertSince(known, timers.wall());
 
   function tick(): void {
     renew();
     table.sweep();
-    for (const [instance, at] of reports) {
-      if (timers.now() - at >= reportInterval) reports.delete(instance);
+    for (const [instance, at] of reportedAt) {
+      if (timers.now() - at >= reportInterval) reportedAt.delete(instance);
     }
   }
 
   announcer.onChange(sendAnnouncement);
-  const ticking = timers.every(renewal, tick);
+  const ticks = timers.every(renewal, tick);
   table.subscribe(services);
 
   return {
     attach(channels) {
-      const own = channels.on('endpoints');
-      channel = own;
-      own.onMessage(body => {
-        if (channel === own) receive(body as HomeMessage);
+      const newChannel = channels.on('endpoints');
+      channel = newChannel;
+      newChannel.onMessage(body => {
+        if (channel === newChannel) receive(body as HomeMessage);
       });
       channels.onClose(() => {
-        if (channel === own) channel = undefined;
+        if (channel === newChannel) channel = undefined;
       });
-      const before = announcer.current();
+      const previous = announcer.current();
       announcer.refresh();
-      if (announcer.current() === before) announceAgain();
+      if (announcer.current() === previous) announceAgain();
       sendSubscription();
     },
     subscribe(next) {
@@ -139,10 +140,10 @@
       sendSubscription();
     },
     reportUnreachable(instance, incarnation) {
-      if (reports.has(instance)) return;
-      reports.set(instance, timers.now());
+      if (reportedAt.has(instance)) return;
+      reportedAt.set(instance, timers.now());
       send({kind: 'unreachable', instance, incarnation});
     },
-    close: () => ticking.cancel(),
+    close: () => ticks.cancel(),
   };
 }
--- a/src/endpoints/messages.ts
+++ b/src/endpoints/messages.ts
@@ -1,59 +1,62 @@
 import type {Address} from '../link/link.js';
 import type {Digest} from './digest.js';
 
-/** One life of a node that can hold claims; see src/claims. */
+/** One incarnation of a node that can hold claims; see src/claims. */
 export interface KeeperEndpoint {
-  /** Where it takes keeper messages. */
+  /** Where it receives keeper messages. */
   readonly address: Address;
-  /** Differs at each start of the node's process, whose memory it names. */
+  /** Differs at each start of the node's process; claims are kept in its memory. */
   readonly incarnation: number;
 }
 
-/** Where an instance is in its life. */
+/** The lifecycle state of an instance. */
 export type InstanceState = 'warming' | 'serving' | 'draining' | 'gone';
 
 /**
- * What an instance's node says of it. The order (incarnation, sequence)
- * decides between two announcements of one instance, whatever way they came.
+ * The state of an instance as published by its node. Of two announcements of one
+ * instance the greater (incarnation, sequence) is newer, in whatever order they
+ * arrive.
  */
 export interface Announcement {
   readonly instance: string;
   readonly service: string;
   /**
-   * Rises at each start of the instance: milliseconds since the epoch at the
-   * start, or one above the last that a home knows when that is greater.
+   * Increases at each start of the instance: milliseconds since the epoch at the
+   * start, or one more than the last that a home has if that is greater.
    */
   readonly incarnation: number;
-  /** Rises with each announcement of one incarnation. */
+  /** Increases with each announcement of one incarnation. */
   readonly sequence: number;
   readonly state: InstanceState;
-  /** Where its gate takes requests from other nodes. */
+  /** Where its gate receives requests from other nodes. */
   readonly gate: Address;
   readonly failureDomain: string;
   readonly region: string;
-  /** Requests that may run at once. */
+  /** Maximum number of concurrent requests. */
   readonly slots: number;
-  /** Connections that may be open at once. */
+  /** Maximum number of open connections. */
   readonly connections: number;
   /**
-   * When it began to warm, in milliseconds since the epoch by the clock of
-   * the process that holds this. On the wire it is an age; see `transit.ts`.
+   * When it started to warm up, in milliseconds since the epoch by the clock of
+   * the process that has this object. In messages it is an age instead; see
+   * `since-conversion.ts`.
    */
   readonly since: number;
-  /** Absent when its node holds no claims. */
+  /** Absent when its node cannot hold claims. */
   readonly keeper?: KeeperEndpoint;
 }
 
-/** An announcement as a home passes it on to nodes. */
+/** An announcement as a home forwards it to nodes. */
 export interface KnownInstance extends Announcement {
   /**
-   * True when its lease ran out together with too many others to be believed.
-   * It is kept, and a node's own connections decide whether to use it.
+   * True when its lease expired together with too many others, so that lost
+   * renewals are a likelier cause than a crash. The instance stays in the table,
+   * and each node decides by its own connections whether to use it.
    */
   readonly suspect?: boolean;
 }
 
-/** The instances that a node knows, kept current by its home. */
+/** The instances in a node's or home's table. */
 export interface EndpointView {
   /** Instances of a service that are not gone, in a stable order. */
   instances(service: string): readonly KnownInstance[];
@@ -61,19 +64,19 @@
   onChange(observe: (service: string) => void): void;
 }
 
-/** What a home keeps of one instance and shares with other homes. */
+/** The record of one instance that homes replicate to each other. */
 export interface EndpointRecord {
   readonly announcement: Announcement;
   /** The home that holds or last held the instance's lease. */
   readonly home: string;
   readonly homeRegion: string;
-  /** True when a home declared it gone because its lease ran out. */
+  /** True when a home declared it gone because its lease expired. */
   readonly expired: boolean;
-  /** Milliseconds since it was declared gone, as the sender counts them. */
+  /** Milliseconds since it became gone, by the sender's clock. */
   readonly goneFor: number;
 }
 
-/** A service with the digest of the instances that the sender knows of it. */
+/** A service with the digest of its instances in the sender's table. */
 export interface ServiceDigest {
   readonly service: string;
   readonly digest: Digest;
@@ -82,20 +85,20 @@
 /** Messages from a node to its home. */
 export type NodeMessage =
   | {readonly kind: 'announce'; readonly announcement: Announcement}
-  /** Renews the lease, where there is one, and asks for the home's digest. */
+  /** Renews the lease, if there is one, and requests the home's digest. */
   | {
       readonly kind: 'renew';
       readonly instance?: string;
       readonly incarnation?: number;
       readonly sequence?: number;
     }
-  /** Sets the services wanted; sections that differ are sent in answer. */
+  /** Sets the subscribed services; the home answers with sections that differ. */
   | {
       readonly kind: 'subscribe';
       readonly all: boolean;
       readonly services: readonly ServiceDigest[];
     }
-  /** The node's connections to this instance fail. */
+  /** Reports that the node's connections to this instance fail. */
   | {
       readonly kind: 'unreachable';
       readonly instance: string;
@@ -104,19 +107,19 @@
 
 /** Messages from a home to one of its nodes. */
 export type HomeMessage =
-  /** A newer announcement of the same instance is known. */
+  /** The home has a newer announcement of the same instance. */
   | {readonly kind: 'refuted'; readonly known: Announcement}
-  /** The home does not hold the instance that was renewed. */
+  /** The home does not have the instance that was renewed. */
   | {readonly kind: 'announce-again'}
-  /** Answers `renew` with the digest of all services subscribed to. */
+  /** Answers `renew` with the digest of all subscribed services. */
   | {
       readonly kind: 'renewed';
       readonly complete: boolean;
       readonly digest: Digest;
     }
   /**
-   * All instances of one service, those remembered as gone included: what is
-   * absent is unknown to the home, which proves less than a tombstone.
+   * All instances of one service, including tombstones. An instance that is
+   * absent is unknown to the home, which is weaker evidence than a tombstone.
    */
   | {
       readonly kind: 'section';
@@ -124,10 +127,10 @@
       readonly complete: boolean;
       readonly instances: readonly KnownInstance[];
     }
-  /** Instances that changed, gone ones included. */
+  /** Instances that changed, including gone ones. */
   | {readonly kind: 'delta'; readonly instances: readonly KnownInstance[]};
 
-/** What a home says of one record when it compares tables. */
+/** The version of one record, exchanged when homes compare tables. */
 export interface RecordSummary {
   readonly instance: string;
   readonly incarnation: number;
@@ -138,28 +141,29 @@
 /** Messages between homes. */
 export type PeerMessage =
   | {readonly kind: 'records'; readonly records: readonly EndpointRecord[]}
-  /** The digest of the whole table; also says that the home is alive. */
+  /** The digest of the whole table; also serves as a heartbeat. */
   | {
       readonly kind: 'root';
       readonly name: string;
       readonly digest: Digest;
-      /** Homes that the sender has no link to. */
+      /** Homes to which the sender has no link. */
       readonly missing: readonly string[];
-      /** Of the homes that the receiver misses, those linked to the sender. */
+      /** Of the receiver's `missing` homes, those that the sender is linked to. */
       readonly linked: readonly string[];
     }
-  /** Digests of all buckets: low and high parts in turn. */
+  /** Digests of all buckets, alternating low and high parts. */
   | {readonly kind: 'buckets'; readonly digests: readonly number[]}
-  /** All that the sender has in the buckets that differ. */
+  /** All record versions that the sender has in the buckets that differ. */
   | {
       readonly kind: 'summary';
       readonly buckets: readonly number[];
       readonly entries: readonly RecordSummary[];
     }
+  /** Requests the records of these instances. */
   | {readonly kind: 'wanted'; readonly instances: readonly string[]}
-  /** Another process claims the instance's id or gate. */
+  /** Another process announces the instance's id or gate. */
   | {readonly kind: 'contest'; readonly instance: string}
-  /** A node of the sender cannot reach an instance that the receiver holds. */
+  /** A node of the sender cannot reach an instance leased from the receiver. */
   | {
       readonly kind: 'unreachable';
       readonly instance: string;
--- a/src/endpoints/node-sessions.ts
+++ b/src/endpoints/node-sessions.ts
@@ -11,7 +11,7 @@
 import type {Subscriber} from './subscriptions.js';
 import {convertSince} from './since-conversion.js';
 
-/** Settings of a home's links to its nodes; times in milliseconds. */
+/** Options of `createNodeSessions`; times in milliseconds. */
 export interface NodeSessionsOptions {
   readonly name: string;
   readonly region: string;
@@ -20,31 +20,31 @@
   readonly store: RecordStore;
   readonly peers: PeerHomes;
   readonly leases: Leases;
-  /** How long changes are gathered before they are sent. */
+  /** Minimum time between two deltas to one node. */
   readonly deltaWindow: number;
-  /** Silence after which a node's link is closed. */
+  /** Time without a message after which a node's link is closed. */
   readonly silenceTimeout: number;
-  /** When every live instance has had the time to be announced here. */
+  /** When every live instance has had enough time to be announced here. */
   readonly completeAt: number;
 }
 
-/** A home's links to its nodes. */
+/** A home's sessions with its nodes. */
 export interface NodeSessions {
   accept(channels: Channels): void;
-  /** Closes links that are silent. */
+  /** Closes links on which nothing was received within the timeout. */
   sweep(): void;
 }
 
 interface Session {
   readonly channels: Channels;
   readonly channel: Channel;
-  lastHeard: number;
-  /** The one instance that this node announces. */
+  lastReceivedAt: number;
+  /** The instance that this node announces. */
   instance: string | undefined;
   readonly subscriber: Subscriber;
 }
 
-/** Creates a home's links to its nodes. */
+/** Creates a home's sessions with its nodes. */
 export function createNodeSessions(options: NodeSessionsOptions): NodeSessions {
   const {name, region, timers, log, store, peers, leases} = options;
   const sessions = new Set<Session>();
@@ -59,32 +59,38 @@
   const send = (session: Session, message: HomeMessage) =>
     session.channel.send(message);
 
-  function refute(session: Session, known: Announcement): void {
-    send(session, {kind: 'refuted', known: convertSince(known, timers.wall())});
+  function refute(session: Session, existing: Announcement): void {
+    send(session, {
+      kind: 'refuted',
+      known: convertSince(existing, timers.wall()),
+    });
   }
 
   function announce(session: Session, announcement: Announcement): void {
     const {instance} = announcement;
     if (!isUsable(session, announcement)) return;
     session.instance = instance;
-    const known = store.get(instance);
+    const existing = store.get(instance);
     const order =
-      known === undefined
+      existing === undefined
         ? 1
-        : compareAnnouncements(announcement, known.announcement);
+        : compareAnnouncements(announcement, existing.announcement);
     if (order < 0) {
-      if (isRival(announcement, known!)) leases.contest(instance);
-      refute(session, known!.announcement);
+      if (isDuplicate(announcement, existing!)) leases.contest(instance);
+      refute(session, existing!.announcement);
       return;
     }
-    if (order > 0) keep(session, announcement);
+    if (order > 0) storeRecord(session, announcement);
     if (announcement.state !== 'gone') leases.renew(instance);
   }
 
-  /** Whether two processes claim one instance id. */
-  function isRival(announcement: Announcement, known: RecordEntry): boolean {
-    const {incarnation, gate} = known.announcement;
-    if (known.goneAt !== undefined) return false;
+  /** Whether two live processes announce the same instance id. */
+  function isDuplicate(
+    announcement: Announcement,
+    existing: RecordEntry,
+  ): boolean {
+    const {incarnation, gate} = existing.announcement;
+    if (existing.goneAt !== undefined) return false;
     return (
       incarnation !== announcement.incarnation && gate !== announcement.gate
     );
@@ -92,10 +98,13 @@
 
   function isUsable(session: Session, announcement: Announcement): boolean {
     const {instance, incarnation, sequence} = announcement;
-    const numbers =
-      isCount(incarnation) && isCount(sequence) && typeof instance === 'string';
-    const own = session.instance === undefined || session.instance === instance;
-    if (numbers && own) return true;
+    const hasValidFields =
+      isNonNegativeInteger(incarnation) &&
+      isNonNegativeInteger(sequence) &&
+      typeof instance === 'string';
+    const isSameInstance =
+      session.instance === undefined || session.instance === instance;
+    if (hasValidFields && isSameInstance) return true;
     log.warn('announcement refused', {
       code: endpointCodes.announcementInvalid.number,
       peer: session.channels.link.peer,
@@ -103,7 +112,7 @@
     return false;
   }
 
-  function keep(session: Session, announcement: Announcement): void {
+  function storeRecord(session: Session, announcement: Announcement): void {
     const record = {
       announcement,
       home: name,
@@ -142,23 +151,23 @@
     message: NodeMessage & {kind: 'renew'},
   ): void {
     const entry = store.get(instance);
-    const known = entry?.announcement;
+    const existing = entry?.announcement;
     const order =
-      known === undefined
+      existing === undefined
         ? 1
-        : message.incarnation! - known.incarnation ||
-          message.sequence! - known.sequence;
+        : message.incarnation! - existing.incarnation ||
+          message.sequence! - existing.sequence;
     if (order > 0) send(session, {kind: 'announce-again'});
-    else if (order < 0) refute(session, known!);
-    else if (known!.state !== 'gone') leases.renew(instance);
-    else if (entry!.expired) refute(session, known!);
+    else if (order < 0) refute(session, existing!);
+    else if (existing!.state !== 'gone') leases.renew(instance);
+    else if (entry!.expired) refute(session, existing!);
   }
 
   /**
-   * Another home's record of an instance whose node is linked here: the node
-   * alone may answer it, and does so by rising above it.
+   * Sends another home's record of an instance to the node that announces the
+   * instance here. Only that node may publish a newer announcement.
    */
-  function answerStranger(entry: RecordEntry): void {
+  function refuteForeignRecord(entry: RecordEntry): void {
     const {instance} = entry.announcement;
     if (entry.home === name && !entry.expired) return;
     for (const session of sessions) {
@@ -168,7 +177,7 @@
   }
 
   function receive(session: Session, message: NodeMessage): void {
-    session.lastHeard = timers.now();
+    session.lastReceivedAt = timers.now();
     switch (message.kind) {
       case 'announce':
         return announce(
@@ -203,7 +212,7 @@
     return false;
   }
 
-  store.onChange(answerStranger);
+  store.onChange(refuteForeignRecord);
 
   return {
     accept(channels) {
@@ -211,7 +220,7 @@
       const session: Session = {
         channels,
         channel,
-        lastHeard: timers.now(),
+        lastReceivedAt: timers.now(),
         instance: undefined,
         subscriber: subscriptions.add(message => channel.send(message)),
       };
@@ -224,7 +233,7 @@
     sweep() {
       const now = timers.now();
       for (const session of [...sessions]) {
-        if (now - session.lastHeard < options.silenceTimeout) continue;
+        if (now - session.lastReceivedAt < options.silenceTimeout) continue;
         session.channels.link.close();
         remove(session);
       }
@@ -232,6 +241,6 @@
   };
 }
 
-function isCount(value: unknown): boolean {
+function isNonNegativeInteger(value: unknown): boolean {
   return Number.isSafeInteger(value) && (value as number) >= 0;
 }
--- a/src/endpoints/peer-homes.ts
+++ b/src/endpoints/peer-homes.ts
@@ -15,37 +15,40 @@
   readonly witness: string;
 }
 
-/** Settings of a home's links to the others. */
+/** Options of `createPeerHomes`. */
 export interface PeerHomesOptions {
   readonly name: string;
   readonly timers: Timers;
   readonly store: RecordStore;
-  /** Milliseconds of silence after which a home counts as cut off. */
+  /** Milliseconds without a message after which a link is closed. */
   readonly timeout: number;
   readonly safeguards: Safeguards;
   readonly onUnreachable: (report: UnreachableReport) => void;
   readonly onContest: (instance: string) => void;
 }
 
-/** The other homes. Renewals stay at home: a live link vouches for its holder. */
+/**
+ * The other homes that replicate records. Lease renewals are not replicated: as
+ * long as the link to a home is alive, the leases of that home count as valid.
+ */
 export interface PeerHomes {
   accept(channels: Channels): void;
-  /** Sends records that this home made to all others. */
+  /** Sends records that this home created to all others. */
   push(records: readonly EndpointRecord[]): void;
   /** Sends this home's digest to all others. */
   compare(): void;
-  /** Closes links that are silent. */
+  /** Closes links on which nothing was received within the timeout. */
   sweep(): void;
-  /** Whether a link to the home is alive. */
+  /** Whether there is a live link to the home. */
   linked(home: string): boolean;
   /**
-   * Milliseconds since the home was last linked here or to another home that
-   * is linked here, or since it was first asked after.
+   * Milliseconds since the home was last linked to this home, or to another home
+   * that is linked to this one; counted from the first call if it never was.
    */
   unreachableFor(home: string): number;
-  /** Passes a report on to the home that holds the instance. */
+  /** Forwards a report to the home that holds the instance's lease. */
   report(home: string, report: UnreachableReport): void;
-  /** Tells the holder that another process claims its instance's id or gate. */
+  /** Notifies the lease holder that another process announces the id or gate. */
   contest(home: string, instance: string): void;
 }
 
@@ -53,26 +56,26 @@
   readonly channels: Channels;
   readonly channel: Channel;
   name: string | undefined;
-  /** Homes that the other end misses. */
+  /** Homes to which the remote home has no link. */
   missing: readonly string[];
-  lastHeard: number;
+  lastReceivedAt: number;
 }
 
-/** Records in one message at most, so that one message is handled quickly. */
+/** Maximum number of records per message, so that one is processed quickly. */
 const recordsPerMessage = 500;
 
-/** Creates a home's links to the others. */
+/** Creates a home's sessions with the other homes. */
 export function createPeerHomes(options: PeerHomesOptions): PeerHomes {
   const {name, timers, store} = options;
   const sessions = new Set<Session>();
-  /** One session for each home, also where both ends opened a link. */
-  const named = new Map<string, Session>();
-  const missingSince = new Map<string, number>();
+  /** One session per home, even when both ends opened a link. */
+  const sessionsByHome = new Map<string, Session>();
+  const unlinkedSince = new Map<string, number>();
 
   const send = (session: Session, message: PeerMessage) =>
     session.channel.send(message);
 
-  const turn = (record: EndpointRecord): EndpointRecord => ({
+  const convert = (record: EndpointRecord): EndpointRecord => ({
     ...record,
     announcement: convertSince(record.announcement, timers.wall()),
   });
@@ -81,8 +84,10 @@
     session: Session,
     records: readonly EndpointRecord[],
   ): void {
-    for (let at = 0; at < records.length; at += recordsPerMessage) {
-      const part = records.slice(at, at + recordsPerMessage).map(turn);
+    for (let offset = 0; offset < records.length; offset += recordsPerMessage) {
+      const part = records
+        .slice(offset, offset + recordsPerMessage)
+        .map(convert);
       send(session, {kind: 'records', records: part});
     }
   }
@@ -90,18 +95,18 @@
   function remove(session: Session): void {
     sessions.delete(session);
     const home = session.name;
-    if (home === undefined || named.get(home) !== session) return;
-    named.delete(home);
+    if (home === undefined || sessionsByHome.get(home) !== session) return;
+    sessionsByHome.delete(home);
     for (const other of sessions) {
-      if (other.name === home) named.set(home, other);
+      if (other.name === home) sessionsByHome.set(home, other);
     }
-    if (!named.has(home)) missingSince.set(home, timers.now());
+    if (!sessionsByHome.has(home)) unlinkedSince.set(home, timers.now());
   }
 
   function identify(session: Session, home: string): void {
     session.name = home;
-    named.set(home, session);
-    missingSince.delete(home);
+    sessionsByHome.set(home, session);
+    unlinkedSince.delete(home);
   }
 
   function sendRoot(session: Session): void {
@@ -109,23 +114,24 @@
       kind: 'root',
       name,
       digest: store.root(),
-      missing: [...missingSince.keys()],
-      linked: session.missing.filter(home => named.has(home)),
+      missing: [...unlinkedSince.keys()],
+      linked: session.missing.filter(home => sessionsByHome.has(home)),
     });
   }
 
   /**
-   * A home whose link to this one alone is cut is not dead. Were it taken for
-   * dead, its instances would be declared gone while their nodes renew there.
+   * Restarts the timeout of homes that are linked to another home. A home of
+   * which only the link to this one is cut is alive; presuming it dead would
+   * declare its instances gone while their nodes renew their leases there.
    */
-  function noteLinked(homes: readonly string[]): void {
+  function resetUnlinkedTime(homes: readonly string[]): void {
     if (!options.safeguards.indirectReachability) return;
     for (const home of homes) {
-      if (missingSince.has(home)) missingSince.set(home, timers.now());
+      if (unlinkedSince.has(home)) unlinkedSince.set(home, timers.now());
     }
   }
 
-  /** Of two homes the one whose name sorts first leads a comparison. */
+  /** Of two homes, the one whose name sorts first starts the comparison. */
   function compareRoot(session: Session, digest: Digest): void {
     if (session.name === undefined || name > session.name) return;
     if (!options.safeguards.comparison) return;
@@ -133,13 +139,13 @@
     send(session, {kind: 'buckets', digests: store.bucketDigests()});
   }
 
-  function compareBuckets(session: Session, theirs: readonly number[]): void {
-    const own = store.bucketDigests();
-    const differing = new Set<number>();
-    for (let at = 0; at < own.length; at++) {
-      if (own[at] !== theirs[at]) differing.add(at >> 1);
+  function compareBuckets(session: Session, remote: readonly number[]): void {
+    const local = store.bucketDigests();
+    const differingBuckets = new Set<number>();
+    for (let offset = 0; offset < local.length; offset++) {
+      if (local[offset] !== remote[offset]) differingBuckets.add(offset >> 1);
     }
-    const buckets = [...differing];
+    const buckets = [...differingBuckets];
     if (buckets.length === 0) return;
     const entries = store.summaries(buckets);
     send(session, {kind: 'summary', buckets, entries});
@@ -148,27 +154,27 @@
   function compareSummary(
     session: Session,
     buckets: readonly number[],
-    theirs: readonly RecordSummary[],
+    remote: readonly RecordSummary[],
   ): void {
-    const known = new Map(theirs.map(one => [one.instance, one]));
+    const known = new Map(remote.map(one => [one.instance, one]));
     const wanted: string[] = [];
-    for (const summary of theirs) {
-      if (isBehind(summary)) wanted.push(summary.instance);
+    for (const summary of remote) {
+      if (isLocalBehind(summary)) wanted.push(summary.instance);
     }
     const newer = store
       .summaries(buckets)
-      .filter(own => isAhead(own, known.get(own.instance)))
-      .map(own => own.instance);
+      .filter(local => isAhead(local, known.get(local.instance)))
+      .map(local => local.instance);
     sendInstances(session, newer);
     if (wanted.length > 0) send(session, {kind: 'wanted', instances: wanted});
   }
 
-  function isBehind(theirs: RecordSummary): boolean {
-    const entry = store.get(theirs.instance);
+  function isLocalBehind(remote: RecordSummary): boolean {
+    const entry = store.get(remote.instance);
     if (entry === undefined) return true;
     const {incarnation, sequence} = entry.announcement;
     const gone = entry.goneAt !== undefined;
-    return isAhead(theirs, {...theirs, incarnation, sequence, gone});
+    return isAhead(remote, {...remote, incarnation, sequence, gone});
   }
 
   function sendInstances(session: Session, instances: readonly string[]): void {
@@ -180,15 +186,15 @@
   }
 
   function receive(session: Session, message: PeerMessage): void {
-    session.lastHeard = timers.now();
+    session.lastReceivedAt = timers.now();
     switch (message.kind) {
       case 'records':
-        for (const record of message.records) store.merge(turn(record));
+        for (const record of message.records) store.merge(convert(record));
         return;
       case 'root':
         identify(session, message.name);
         session.missing = message.missing;
-        noteLinked(message.linked);
+        resetUnlinkedTime(message.linked);
         return compareRoot(session, message.digest);
       case 'buckets':
         return compareBuckets(session, message.digests);
@@ -211,7 +217,7 @@
         channel,
         name: undefined,
         missing: [],
-        lastHeard: timers.now(),
+        lastReceivedAt: timers.now(),
       };
       sessions.add(session);
       channel.onMessage(body => {
@@ -221,7 +227,8 @@
       sendRoot(session);
     },
     push(records) {
-      for (const session of named.values()) sendRecords(session, records);
+      for (const session of sessionsByHome.values())
+        sendRecords(session, records);
     },
     compare() {
       for (const session of sessions) sendRoot(session);
@@ -229,24 +236,24 @@
     sweep() {
       const now = timers.now();
       for (const session of [...sessions]) {
-        if (now - session.lastHeard < options.timeout) continue;
+        if (now - session.lastReceivedAt < options.timeout) continue;
         session.channels.link.close();
         remove(session);
       }
     },
-    linked: home => named.has(home),
+    linked: home => sessionsByHome.has(home),
     unreachableFor(home) {
-      const since = missingSince.get(home) ?? timers.now();
-      missingSince.set(home, since);
+      const since = unlinkedSince.get(home) ?? timers.now();
+      unlinkedSince.set(home, since);
       return timers.now() - since;
     },
     report(home, report) {
-      const session = named.get(home);
+      const session = sessionsByHome.get(home);
       if (session !== undefined)
         send(session, {kind: 'unreachable', ...report});
     },
     contest(home, instance) {
-      const session = named.get(home);
+      const session = sessionsByHome.get(home);
       if (session !== undefined) send(session, {kind: 'contest', instance});
     },
   };
--- a/src/endpoints/record-store.test.ts
+++ b/src/endpoints/record-store.test.ts
@@ -39,7 +39,7 @@
   return {timers, store};
 }
 
-test('any order and doubling of records ends in the same table', t => {
+test('reordered and duplicated records result in the same table', t => {
   const records = [
     record(),
     record({sequence: 2, state: 'draining'}),
@@ -57,7 +57,7 @@
   t.is(forward.get('crewbook-1')!.announcement.incarnation, 2);
 });
 
-test('a suspect changes what nodes compare, not what homes compare', t => {
+test('a suspect changes the digest for nodes but not the digest for homes', t => {
   const {store} = start();
   store.merge(record());
   const [root, view] = [store.root(), store.viewDigest()];
@@ -68,10 +68,10 @@
   t.deepEqual(store.viewDigest(), view);
 });
 
-test('a tombstone leaves the digests before it is forgotten', t => {
-  // Two homes forget a tombstone some seconds apart. Were it in the digests
-  // until then, the home that still has it would give it back to the other,
-  // and neither would ever be rid of it.
+test('a tombstone is excluded from the digests before it is removed', t => {
+  // Two homes remove a tombstone some seconds apart. If the digests included it
+  // until then, the home that still has it would send it back to the other, and
+  // it would never disappear.
   const {timers, store} = start();
   const empty = store.root();
   store.merge(record({state: 'gone'}));
@@ -93,7 +93,7 @@
   t.false(store.get('crewbook-1')!.inDigests);
 });
 
-test('a full table takes no more instances but still updates its own', t => {
+test('a full table accepts no new instances but still updates existing ones', t => {
   const {store} = start(2);
   t.true(store.merge(record({instance: 'a'})));
   t.true(store.merge(record({instance: 'b'})));
--- a/src/endpoints/record-store.ts
+++ b/src/endpoints/record-store.ts
@@ -18,38 +18,41 @@
   readonly home: string;
   readonly homeRegion: string;
   readonly expired: boolean;
-  /** When it became gone, on this home's clock; undefined while it lives. */
+  /** When it became gone, by this home's clock; undefined while it is live. */
   readonly goneAt: number | undefined;
-  /** This home's own doubt; not shared with other homes. */
+  /** Whether this home suspects the instance; not replicated to other homes. */
   suspect: boolean;
-  /** Whether the tables' digests count it; old tombstones are left out. */
+  /** Whether the table digests include it; old tombstones are excluded. */
   inDigests: boolean;
 }
 
-/** A change of one instance's entry; `before` is undefined for a new one. */
-export type RecordObserver = (entry: RecordEntry, before: RecordEntry | undefined) => void;
+/** Called on a change of one entry; `before` is undefined for a new one. */
+export type RecordObserver = (
+  entry: RecordEntry,
+  before: RecordEntry | undefined,
+) => void;
 
-/** The table that every home has a copy of. */
+/** A home's copy of the replicated table of instances. */
 export interface RecordStore {
   get(instance: string): RecordEntry | undefined;
   entries(): IterableIterator<RecordEntry>;
   ofService(service: string): Iterable<RecordEntry>;
   services(): IterableIterator<string>;
-  /** Live entries at one gate's address. */
+  /** Live entries with this gate address. */
   liveAtGate(gate: string): readonly RecordEntry[];
-  /** Keeps a record if it is newer than what is held. */
+  /** Stores a record if it is newer than the present one; false if it is not. */
   merge(record: EndpointRecord): boolean;
   setSuspect(instance: string, suspect: boolean): void;
-  /** Forgets tombstones whose time is over. */
+  /** Removes tombstones whose retention time is over. */
   sweep(): void;
   record(entry: RecordEntry): EndpointRecord;
   root(): Digest;
   bucketDigests(): number[];
   summaries(buckets: readonly number[]): RecordSummary[];
   bucketOf(service: string): number;
-  /** The digest of a service's live instances as nodes see them. */
+  /** The digest of a service's live instances in the nodes' view. */
   serviceDigest(service: string): Digest;
-  /** The digest of all services as nodes see them. */
+  /** The digest of all services in the nodes' view. */
   viewDigest(): Digest;
   onChange(observe: RecordObserver): void;
   size(): number;
@@ -57,17 +60,17 @@
   liveCount(): number;
 }
 
-/** Settings of a home's table. */
+/** Options of `createRecordStore`. */
 export interface RecordStoreOptions {
   readonly timers: Timers;
   /** Milliseconds for which a tombstone is kept. */
   readonly tombstoneRetention: number;
-  /** Most instances kept, tombstones included. */
+  /** Maximum number of instances, including tombstones. */
   readonly limit: number;
   readonly safeguards: Safeguards;
 }
 
-/** Services are spread over so many buckets, which are compared one by one. */
+/** Services are hashed into this many buckets, whose digests homes compare. */
 const bucketCount = 256;
 
 interface ServiceGroup {
@@ -78,9 +81,10 @@
 /** Creates an empty table. */
 export function createRecordStore(options: RecordStoreOptions): RecordStore {
   const {timers, tombstoneRetention, limit} = options;
-  // A tombstone leaves the digests at half its time, so that homes which drop
-  // it some seconds apart do not hand it back to each other for ever.
-  const countedFor = tombstoneRetention / 2;
+  // A tombstone is excluded from the digests after half its retention time.
+  // Otherwise homes that remove it some seconds apart would send it back to each
+  // other forever.
+  const inDigestsFor = tombstoneRetention / 2;
   const entries = new Map<string, RecordEntry>();
   const groups = new Map<string, ServiceGroup>();
   const gates = new Map<string, Set<string>>();
@@ -88,21 +92,21 @@
   const buckets: Digest[] = members.map(() => emptyDigest);
   const observers: RecordObserver[] = [];
   let root = emptyDigest;
-  let view = emptyDigest;
-  let live = 0;
+  let viewDigest = emptyDigest;
+  let liveCount = 0;
 
-  function toggleCounted(entry: RecordEntry): void {
+  function toggleInDigests(entry: RecordEntry): void {
     const digest = digestEntry(entry);
     const bucket = bucketOf(entry.announcement.service);
     buckets[bucket] = toggle(buckets[bucket]!, digest);
     root = toggle(root, digest);
   }
 
-  function toggleView(entry: RecordEntry): void {
+  function toggleInView(entry: RecordEntry): void {
     const group = groups.get(entry.announcement.service)!;
     const digest = digestInstance(toKnownInstance(entry));
     group.digest = toggle(group.digest, digest);
-    view = toggle(view, digest);
+    viewDigest = toggle(viewDigest, digest);
   }
 
   function add(entry: RecordEntry): void {
@@ -116,14 +120,14 @@
     group.entries.set(instance, entry);
     members[bucketOf(service)]!.add(instance);
     if (entry.goneAt === undefined) addGate(gate, instance);
-    if (entry.inDigests) toggleCounted(entry);
-    toggleView(entry);
+    if (entry.inDigests) toggleInDigests(entry);
+    toggleInView(entry);
   }
 
   function remove(entry: RecordEntry): void {
     const {instance, service, gate} = entry.announcement;
-    toggleView(entry);
-    if (entry.inDigests) toggleCounted(entry);
+    toggleInView(entry);
+    if (entry.inDigests) toggleInDigests(entry);
     if (entry.goneAt === undefined) removeGate(gate, instance);
     entries.delete(instance);
     members[bucketOf(service)]!.delete(instance);
@@ -133,19 +137,19 @@
   }
 
   function addGate(gate: string, instance: string): void {
-    live++;
+    liveCount++;
     const set = gates.get(gate) ?? new Set();
     gates.set(gate, set.add(instance));
   }
 
   function removeGate(gate: string, instance: string): void {
-    live--;
+    liveCount--;
     const set = gates.get(gate)!;
     set.delete(instance);
     if (set.size === 0) gates.delete(gate);
   }
 
-  function makeEntry(record: EndpointRecord): RecordEntry {
+  function createEntry(record: EndpointRecord): RecordEntry {
     const gone = record.announcement.state === 'gone';
     return {
       announcement: record.announcement,
@@ -154,7 +158,7 @@
       expired: record.expired,
       goneAt: gone ? timers.now() - record.goneFor : undefined,
       suspect: false,
-      inDigests: !gone || record.goneFor < countedFor,
+      inDigests: !gone || record.goneFor < inDigestsFor,
     };
   }
 
@@ -163,7 +167,7 @@
     const before = entries.get(announcement.instance);
     if (before && isStale(announcement, before.announcement)) return false;
     if (before === undefined && entries.size >= limit) return false;
-    const entry = makeEntry(record);
+    const entry = createEntry(record);
     if (before !== undefined) remove(before);
     add(entry);
     for (const observe of observers) observe(entry, before);
@@ -171,8 +175,9 @@
   }
 
   /**
-   * Records cross on their way through several homes. Were the last to come
-   * kept, an instance that is gone would come back and take requests.
+   * Whether an announcement is not newer than the stored one. Records arrive out
+   * of order through several homes; if the last one won, an instance that is gone
+   * would reappear and be sent requests.
    */
   function isStale(next: Announcement, held: Announcement): boolean {
     return options.safeguards.order && !isNewer(next, held);
@@ -183,8 +188,8 @@
     for (const entry of entries.values()) {
       if (entry.goneAt === undefined) continue;
       const age = now - entry.goneAt;
-      if (entry.inDigests && age >= countedFor) {
-        toggleCounted(entry);
+      if (entry.inDigests && age >= inDigestsFor) {
+        toggleInDigests(entry);
         entry.inDigests = false;
       }
       if (age >= tombstoneRetention) remove(entry);
@@ -194,9 +199,9 @@
   function setSuspect(instance: string, suspect: boolean): void {
     const entry = entries.get(instance);
     if (entry === undefined || entry.suspect === suspect) return;
-    toggleView(entry);
+    toggleInView(entry);
     entry.suspect = suspect;
-    toggleView(entry);
+    toggleInView(entry);
     for (const observe of observers) observe(entry, entry);
   }
 
@@ -228,14 +233,14 @@
       ),
     bucketOf,
     serviceDigest: service => groups.get(service)?.digest ?? emptyDigest,
-    viewDigest: () => view,
+    viewDigest: () => viewDigest,
     onChange: observe => void observers.push(observe),
     size: () => entries.size,
-    liveCount: () => live,
+    liveCount: () => liveCount,
   };
 }
 
-/** What nodes are told of an entry. */
+/** The form of an entry that is sent to nodes. */
 export function toKnownInstance(entry: RecordEntry): KnownInstance {
   if (!entry.suspect) return entry.announcement;
   return {...entry.announcement, suspect: true};
@@ -247,8 +252,10 @@
 
 function digestEntry(entry: RecordEntry): Digest {
   const {instance, incarnation, sequence, gate} = entry.announcement;
-  const mark = entry.goneAt === undefined ? '' : 'g';
-  return digestText(`${instance} ${incarnation} ${sequence} ${gate}${mark}`);
+  const goneSuffix = entry.goneAt === undefined ? '' : 'g';
+  return digestText(
+    `${instance} ${incarnation} ${sequence} ${gate}${goneSuffix}`,
+  );
 }
 
 function summarize(entry: RecordEntry): RecordSummary {
--- a/src/endpoints/registry.test.ts
+++ b/src/endpoints/registry.test.ts
@@ -4,7 +4,7 @@
 
 const second = 1000;
 
-test('announced, draining and withdrawn reach the nodes of every home', async t => {
+test('announcements, drains and withdrawals reach the nodes of every home', async t => {
   const mesh = createFakeMesh();
   await mesh.home('home-a');
   await mesh.home('home-b');
@@ -22,7 +22,7 @@
   t.deepEqual(caller.view(), []);
 });
 
-test('a node hears only of the services that it calls', async t => {
+test('a node receives only the services that it subscribes to', async t => {
   const mesh = createFakeMesh();
   await mesh.home('home-a');
   await mesh.join('home-a', 'crewbook-1', upstream());
@@ -40,8 +40,8 @@
   t.deepEqual(caller.view('drillvault'), []);
 });
 
-/** Plays one life of an instance whose messages cross, double and lag. */
-async function crossedLife(mesh: FakeMesh): Promise<string[]> {
+/** Runs an instance whose messages are reordered, duplicated and delayed. */
+async function runWithReordering(mesh: FakeMesh): Promise<string[]> {
   await mesh.home('home-a');
   await mesh.home('home-b');
   const caller = await mesh.join('home-b', 'caller');
@@ -61,20 +61,20 @@
   return caller.view();
 }
 
-test('crossed announcements do not bring a gone instance back', async t => {
-  // An upstream leaves; its last three announcements reach the second home
-  // in reverse order and twice. Without the order (incarnation, sequence) the
-  // last to come wins: callers are sent to an instance that has left. With it
-  // the oldest ones are dropped wherever they come late.
+test('reordered announcements do not restore an instance that is gone', async t => {
+  // An upstream leaves, and its last three announcements reach the second home
+  // twice and in reverse order. Without the order (incarnation, sequence) the
+  // last arrival wins, and callers are sent to an instance that has left. With it
+  // late older announcements are dropped.
   const unordered = createFakeMesh(0, {
     safeguards: {order: false, comparison: false},
   });
-  t.deepEqual(await crossedLife(unordered), ['crewbook-1:serving']);
-  t.deepEqual(await crossedLife(createFakeMesh()), []);
+  t.deepEqual(await runWithReordering(unordered), ['crewbook-1:serving']);
+  t.deepEqual(await runWithReordering(createFakeMesh()), []);
 });
 
-/** An instance leaves while a home that knows it is cut off for minutes. */
-async function lateCopy(tombstoneRetention: number) {
+/** An instance leaves while a home that has its record is cut off for minutes. */
+async function reconnectAfterLeave(tombstoneRetention: number) {
   const mesh = createFakeMesh(0, {tombstoneRetention});
   await mesh.home('home-a');
   await mesh.home('home-b', {region: 'muscat'});
@@ -92,23 +92,23 @@
   return {mesh, caller};
 }
 
-test('a home that was cut off does not bring back what left meanwhile', async t => {
-  // The second home still has the instance as serving when the cut ends.
-  // If the first has already forgotten that it left, it takes the old copy
-  // for news and callers are sent to it. A tombstone that outlives every cut
-  // wins by its higher sequence.
-  const forgetful = await lateCopy(60 * second);
-  t.deepEqual(forgetful.caller.view(), ['crewbook-1:serving']);
-  const mindful = await lateCopy(24 * 3600 * second);
-  t.deepEqual(mindful.caller.view(), []);
-
-  // Even the forgetful home finds that it holds no lease, an orphan's time on.
-  await forgetful.mesh.advance(35 * second);
-  t.deepEqual(forgetful.caller.view(), []);
+test('a home that was cut off does not restore an instance that left meanwhile', async t => {
+  // The second home still lists the instance as serving when the partition ends.
+  // If the first home has already removed the tombstone, it accepts the old
+  // record as new and callers are sent to it. A tombstone that is kept longer
+  // than any partition wins by its higher sequence.
+  const shortRetention = await reconnectAfterLeave(60 * second);
+  t.deepEqual(shortRetention.caller.view(), ['crewbook-1:serving']);
+  const longRetention = await reconnectAfterLeave(24 * 3600 * second);
+  t.deepEqual(longRetention.caller.view(), []);
+
+  // With short retention, the instance is only removed when its orphan lease ends.
+  await shortRetention.mesh.advance(35 * second);
+  t.deepEqual(shortRetention.caller.view(), []);
 });
 
 /** Drains an instance while each kind of message is lost once. */
-async function lossyDrain(mesh: FakeMesh): Promise<string[]> {
+async function drainWithLosses(mesh: FakeMesh): Promise<string[]> {
   await mesh.home('home-a');
   await mesh.home('home-b');
   const node = await mesh.join('home-a', 'crewbook-1', upstream(), {
@@ -119,10 +119,10 @@
   const lost = new Set<string>();
   mesh.network.decide((source, target, message) => {
     const {body} = message as {body: {kind: string}};
-    const way = `${source}>${target} ${body.kind}`;
+    const messageKind = `${source}>${target} ${body.kind}`;
     const carries = ['announce', 'records', 'delta'].includes(body.kind);
-    if (!carries || lost.has(way)) return 'deliver';
-    lost.add(way);
+    if (!carries || lost.has(messageKind)) return 'deliver';
+    lost.add(messageKind);
     return 'drop';
   });
   node.announcer.announce(upstream({state: 'draining'}));
@@ -130,14 +130,19 @@
   return [...caller.view(), `${lost.size} lost`];
 }
 
-test('a drain is known within seconds though every message of it is lost', async t => {
+test('a drain reaches all nodes within seconds although each of its messages is lost once', async t => {
   // The announcement, the record between homes and the delta to the caller's
-  // node are each lost once. Without the comparison of digests between homes
-  // the caller's node never hears of the drain and goes on sending work. With
-  // it each hop notices at its next renewal or comparison.
-  const blind = createFakeMesh(0, {safeguards: {comparison: false}});
-  t.deepEqual(await lossyDrain(blind), ['crewbook-1:serving', '2 lost']);
-  t.deepEqual(await lossyDrain(createFakeMesh()), [
+  // node are each lost once. Without the comparison of digests between homes the
+  // caller's node never receives the drain and continues to send work. With it
+  // each hop detects the loss at its next renewal or comparison.
+  const withoutComparison = createFakeMesh(0, {
+    safeguards: {comparison: false},
+  });
+  t.deepEqual(await drainWithLosses(withoutComparison), [
+    'crewbook-1:serving',
+    '2 lost',
+  ]);
+  t.deepEqual(await drainWithLosses(createFakeMesh()), [
     'crewbook-1:draining',
     '3 lost',
   ]);
@@ -157,25 +162,30 @@
   t.true(known!.incarnation > before.announcer.current()!.incarnation);
 });
 
-test('an instance whose wall clock went back still rises', async t => {
-  // The VM restarts with a clock an hour behind: its incarnation is lower than
-  // the one the homes know. Were it believed as it stands, all it says would
-  // be dropped as old, and once its lease ran out callers would lose it. The
-  // home tells what it knows and the node starts above that.
+test('an instance whose wall clock was set back gets a higher incarnation', async t => {
+  // The VM restarts with a clock that is an hour behind, so its incarnation is
+  // lower than the one in the homes' tables. Its announcements would all be
+  // dropped as old, and callers would lose it when its lease expires. The home
+  // sends its newer announcement, and the node continues above that.
   const mesh = createFakeMesh(7_200_000);
   await mesh.home('home-a');
   const caller = await mesh.join('home-a', 'caller');
   const before = await mesh.join('home-a', 'crewbook-1', upstream());
   await mesh.advance(second);
   const options = {clockOffset: -3_600_000};
-  const stuck = mesh.node('crewbook-1', options);
+  const outdated = mesh.node('crewbook-1', options);
   before.kill();
-  const announced = stuck.announcer.announce(upstream());
+  const announced = outdated.announcer.announce(upstream());
   const first = before.announcer.current()!.incarnation;
   t.true(announced.ok && announced.value.incarnation < first);
 
-  const risen = await mesh.join('home-a', 'crewbook-1', upstream(), options);
+  const restarted = await mesh.join(
+    'home-a',
+    'crewbook-1',
+    upstream(),
+    options,
+  );
   await mesh.advance(60 * second);
-  t.is(risen.announcer.current()!.incarnation, first + 1);
+  t.is(restarted.announcer.current()!.incarnation, first + 1);
   t.deepEqual(caller.view(), ['crewbook-1:serving']);
 });
--- a/src/endpoints/registry.ts
+++ b/src/endpoints/registry.ts
@@ -9,55 +9,58 @@
 import {allSafeguards} from './safeguards.js';
 import type {Safeguards} from './safeguards.js';
 
-/** Settings of a home's registry; times in milliseconds. */
+/** Options of `createRegistry`; times in milliseconds. */
 export interface RegistryOptions {
   /** The home's name, unique in the deployment. */
   readonly name: string;
   readonly region: string;
   readonly timers: Timers;
   readonly log: Log;
-  /** How long an instance counts as alive after its last renewal. */
+  /** How long a lease lasts after its last renewal. */
   readonly lease: number;
-  /** What is left of the lease once the node's link has closed; default 5000. */
+  /** Maximum rest of a lease after the node's link has closed; default 5000. */
   readonly closedLinkLease?: number;
-  /** How long instances of a dead home may take to find another; default three leases. */
+  /**
+   * How long instances whose home has died may take to attach to another home;
+   * default three leases.
+   */
   readonly orphanLease?: number;
-  /** Share of a service whose leases may run out close together; default 0.25. */
+  /** Share of a service whose leases may expire close together; default 0.25. */
   readonly expiryShare?: number;
-  /** How close together counts for `expiryShare`; default 60,000. */
+  /** Time span in which expiries count for `expiryShare`; default 60,000. */
   readonly expiryWindow?: number;
-  /** Nodes whose report clears an instance that is held back; default 2. */
+  /** Number of reporting nodes after which a suspect is removed; default 2. */
   readonly requiredWitnesses?: number;
-  /** How long changes that follow another are gathered for a node; default 50. */
+  /** Minimum time between two deltas to one node; default 50. */
   readonly deltaWindow?: number;
-  /** Time between two comparisons with each other home; default 1000. */
+  /** Time between two comparisons with each of the other homes; default 1000. */
   readonly comparisonInterval?: number;
-  /** Silence after which another home counts as cut off; default 5000. */
+  /** Time without a message after which a link to a home is closed; default 5000. */
   readonly peerTimeout?: number;
-  /** How long gone instances are remembered; default one day. */
+  /** How long tombstones of gone instances are kept; default one day. */
   readonly tombstoneRetention?: number;
-  /** Most instances kept, tombstones included; default 50,000. */
+  /** Maximum number of instances, including tombstones; default 50,000. */
   readonly limit?: number;
   /**
-   * What is left of a lease once another process claims the instance's id or
-   * gate; more than two renewals. Default 5000.
+   * How long a lease lasts without a renewal after another process has announced
+   * the instance's id or gate; more than two renewal intervals. Default 5000.
    */
   readonly contestLease?: number;
   /** For tests only. */
   readonly safeguards?: Partial<Safeguards>;
 }
 
-/** A home's part in membership: its nodes' leases and the shared table. */
+/** A home's replicated table of instances and the leases of its nodes. */
 export interface Registry extends EndpointView {
-  /** Takes a node's link. */
+  /** Serves a node's link. */
   accept(channels: Channels): void;
-  /** Takes a link to another home; both ends call it. */
+  /** Replicates over a link to another home; both ends call it. */
   peer(channels: Channels): void;
-  /** All services that have live instances. */
+  /** The services that have live instances. */
   services(): readonly string[];
-  /** The table, tombstones included, ordered by instance. */
+  /** All records, including tombstones, ordered by instance. */
   records(): readonly EndpointRecord[];
-  /** Ends the timers; links stay as they are. */
+  /** Stops the timers; links stay open. */
   close(): void;
 }
 
@@ -72,7 +75,7 @@
   limit: 50_000,
 } as const;
 
-/** Creates the registry of a home. */
+/** Creates the instance registry of a home. */
 export function createRegistry(options: RegistryOptions): Registry {
   const {name, region, timers, lease} = options;
   const log = options.log.scope('endpoints');
@@ -122,7 +125,7 @@
     silenceTimeout: lease,
     completeAt: timers.now() + lease + defaults.closedLease,
   });
-  const ticking = timers.every(comparison, () => {
+  const sweeps = timers.every(comparison, () => {
     sessions.sweep();
     peers.sweep();
     leases.sweep();
@@ -145,8 +148,8 @@
       store.onChange((entry, before) => {
         const {service} = entry.announcement;
         observe(service);
-        const left = before?.announcement.service;
-        if (left !== undefined && left !== service) observe(left);
+        const former = before?.announcement.service;
+        if (former !== undefined && former !== service) observe(former);
       });
     },
     services: () =>
@@ -157,6 +160,6 @@
         .sort((left, right) =>
           left.announcement.instance < right.announcement.instance ? -1 : 1,
         ),
-    close: () => ticking.cancel(),
+    close: () => sweeps.cancel(),
   };
 }
--- a/src/endpoints/safeguards.ts
+++ b/src/endpoints/safeguards.ts
@@ -1,21 +1,21 @@
 /**
- * Safeguards that a test can leave out to show the failure each prevents. A
+ * Safeguards that a test can turn off to show the failure that each prevents. A
  * process always runs with all of them.
  */
 export interface Safeguards {
   /** Older announcements never replace newer ones. */
   readonly order: boolean;
-  /** Homes compare digests, so that a lost record is sent again. */
+  /** Homes compare digests, so that lost records are sent again. */
   readonly comparison: boolean;
-  /** Only homes of its own region declare an instance gone. */
+  /** Only homes in an instance's region may declare it gone. */
   readonly region: boolean;
-  /** A home that others still hear is not taken for dead. */
+  /** A home that other homes can still reach is not presumed dead. */
   readonly indirectReachability: boolean;
-  /** Two claims to one id or gate are settled by who still renews. */
+  /** Of two processes with one id or gate, the one that still renews wins. */
   readonly contest: boolean;
 }
 
-/** What every process runs with. */
+/** The safeguards of every process. */
 export const allSafeguards: Safeguards = {
   order: true,
   comparison: true,
--- a/src/endpoints/since-conversion.ts
+++ b/src/endpoints/since-conversion.ts
@@ -1,10 +1,10 @@
 import type {Announcement} from './messages.js';
 
 /**
- * Puts `since` on the wire, or takes it from there: between processes it
- * travels as an age in milliseconds. Clocks of two VMs can differ by hours,
- * and a receiver that took the sender's time for its own would treat a warm
- * instance as cold, or a cold one as warm. The two ways are one operation.
+ * Converts `since` from a time to the age in milliseconds that is sent between
+ * processes, or back; both directions are the same operation. Clocks of two VMs
+ * can differ by hours, so a receiver that used the sender's time would treat a
+ * warm instance as cold or a cold one as warm.
  */
 export function convertSince<T extends Announcement>(
   announcement: T,
--- a/src/endpoints/subscriptions.ts
+++ b/src/endpoints/subscriptions.ts
@@ -6,34 +6,34 @@
 import type {RecordEntry, RecordStore} from './record-store.js';
 import {convertSince} from './since-conversion.js';
 
-/** Settings of what a home tells its nodes; times in milliseconds. */
+/** Options of `createSubscriptions`; times in milliseconds. */
 export interface SubscriptionsOptions {
   readonly timers: Timers;
   readonly store: RecordStore;
-  /** How long changes that follow another are gathered. */
+  /** Minimum time between two deltas to one node; later changes are batched. */
   readonly deltaWindow: number;
-  /** Whether every live instance has had the time to be announced here. */
+  /** Whether every live instance has had enough time to be announced here. */
   readonly isComplete: () => boolean;
 }
 
-/** One node, as far as it is told of instances. */
+/** The subscription of one node. */
 export interface Subscriber {
-  /** Sets the services wanted and sends those that differ from `listed`. */
+  /** Sets the subscribed services and sends those that differ from `listed`. */
   subscribe(all: boolean, listed: readonly ServiceDigest[]): void;
-  /** Sends what is gathered. */
+  /** Sends the pending changes. */
   flush(): void;
-  /** The digest of all that it subscribes to. */
+  /** The digest of all subscribed services. */
   digest(): Digest;
   end(): void;
 }
 
-/** Tells nodes of the services that they call. */
+/** Sends nodes the instances of the services that they subscribe to. */
 export interface Subscriptions {
-  /** Adds a node that wants nothing yet. */
+  /** Adds a node without subscribed services. */
   add(send: (message: HomeMessage) => void): Subscriber;
 }
 
-interface Taker {
+interface SubscriberState {
   readonly send: (message: HomeMessage) => void;
   services: ReadonlySet<string> | 'all';
   /** Instances that changed since the last delta. */
@@ -42,104 +42,112 @@
   flushedAt: number;
 }
 
-/** Creates what a home tells its nodes; follows the table from then on. */
+/** Creates the subscriptions of a home's nodes; observes the table from then on. */
 export function createSubscriptions(
   options: SubscriptionsOptions,
 ): Subscriptions {
-  const {timers, store, deltaWindow: window, isComplete} = options;
-  const takers = new Map<string, Set<Taker>>();
-  const takersOfAll = new Set<Taker>();
+  const {timers, store, deltaWindow, isComplete} = options;
+  const byService = new Map<string, Set<SubscriberState>>();
+  const subscribersToAll = new Set<SubscriberState>();
 
-  const onWire = (entry: RecordEntry) => convertSince(toKnownInstance(entry), timers.wall());
+  const toMessage = (entry: RecordEntry) =>
+    convertSince(toKnownInstance(entry), timers.wall());
 
-  function takersOf(service: string): Set<Taker> {
-    const set = takers.get(service) ?? new Set();
-    takers.set(service, set);
+  function subscribersOf(service: string): Set<SubscriberState> {
+    const set = byService.get(service) ?? new Set();
+    byService.set(service, set);
     return set;
   }
 
-  function unsubscribe(taker: Taker): void {
-    takersOfAll.delete(taker);
-    if (taker.services === 'all') return;
-    for (const service of taker.services) {
-      const set = takersOf(service);
-      set.delete(taker);
-      if (set.size === 0) takers.delete(service);
+  function unsubscribe(subscriber: SubscriberState): void {
+    subscribersToAll.delete(subscriber);
+    if (subscriber.services === 'all') return;
+    for (const service of subscriber.services) {
+      const set = subscribersOf(service);
+      set.delete(subscriber);
+      if (set.size === 0) byService.delete(service);
     }
   }
 
   function subscribe(
-    taker: Taker,
+    subscriber: SubscriberState,
     all: boolean,
     listed: readonly ServiceDigest[],
   ): void {
-    unsubscribe(taker);
-    taker.services = all ? 'all' : new Set(listed.map(one => one.service));
-    if (all) takersOfAll.add(taker);
-    else for (const {service} of listed) takersOf(service).add(taker);
-    taker.pending.clear();
+    unsubscribe(subscriber);
+    subscriber.services = all ? 'all' : new Set(listed.map(one => one.service));
+    if (all) subscribersToAll.add(subscriber);
+    else for (const {service} of listed) subscribersOf(service).add(subscriber);
+    subscriber.pending.clear();
     const digests = new Map(listed.map(one => [one.service, one.digest]));
     const services = all
       ? new Set([...store.services(), ...digests.keys()])
       : digests.keys();
     for (const service of services) {
-      const theirs = digests.get(service) ?? emptyDigest;
-      if (equalDigests(theirs, store.serviceDigest(service))) continue;
-      sendSection(taker, service);
+      const remote = digests.get(service) ?? emptyDigest;
+      if (equalDigests(remote, store.serviceDigest(service))) continue;
+      sendSection(subscriber, service);
     }
   }
 
-  function sendSection(taker: Taker, service: string): void {
-    const instances = [...store.ofService(service)].map(onWire);
+  function sendSection(subscriber: SubscriberState, service: string): void {
+    const instances = [...store.ofService(service)].map(toMessage);
     const complete = isComplete();
-    taker.send({kind: 'section', service, complete, instances});
+    subscriber.send({kind: 'section', service, complete, instances});
   }
 
-  function digest(taker: Taker): Digest {
-    if (taker.services === 'all') return store.viewDigest();
-    let sum = emptyDigest;
-    for (const service of taker.services) {
-      sum = toggle(sum, store.serviceDigest(service));
+  function digest(subscriber: SubscriberState): Digest {
+    if (subscriber.services === 'all') return store.viewDigest();
+    let total = emptyDigest;
+    for (const service of subscriber.services) {
+      total = toggle(total, store.serviceDigest(service));
     }
-    return sum;
+    return total;
   }
 
-  function flush(taker: Taker): void {
-    taker.flush?.cancel();
-    taker.flush = undefined;
-    if (taker.pending.size === 0) return;
-    const instances = [...taker.pending]
+  function flush(subscriber: SubscriberState): void {
+    subscriber.flush?.cancel();
+    subscriber.flush = undefined;
+    if (subscriber.pending.size === 0) return;
+    const instances = [...subscriber.pending]
       .map(instance => store.get(instance))
       .filter(entry => entry !== undefined)
-      .map(onWire);
-    taker.pending.clear();
-    taker.flushedAt = timers.now();
-    taker.send({kind: 'delta', instances});
+      .map(toMessage);
+    subscriber.pending.clear();
+    subscriber.flushedAt = timers.now();
+    subscriber.send({kind: 'delta', instances});
   }
 
-  function mark(taker: Taker, instance: string): void {
-    taker.pending.add(instance);
-    if (taker.flush !== undefined) return;
-    // The first change after a quiet time leaves at once, more are gathered.
-    const due = taker.flushedAt + window - timers.now();
-    taker.flush = timers.after(Math.max(0, due), () => flush(taker));
+  function mark(subscriber: SubscriberState, instance: string): void {
+    subscriber.pending.add(instance);
+    if (subscriber.flush !== undefined) return;
+    // The first change after a quiet period is sent at once, others are batched.
+    const delay = subscriber.flushedAt + deltaWindow - timers.now();
+    subscriber.flush = timers.after(Math.max(0, delay), () =>
+      flush(subscriber),
+    );
   }
 
-  /** A service that the instance has left must hear of it as well. */
-  function spread(entry: RecordEntry, before: RecordEntry | undefined): void {
+  /** Marks a change for all subscribers, also those of the instance's old service. */
+  function markForSubscribers(
+    entry: RecordEntry,
+    before: RecordEntry | undefined,
+  ): void {
     const {instance, service} = entry.announcement;
-    const left = before?.announcement.service ?? service;
-    for (const taker of takersOfAll) mark(taker, instance);
-    for (const taker of takers.get(service) ?? []) mark(taker, instance);
-    if (left === service) return;
-    for (const taker of takers.get(left) ?? []) mark(taker, instance);
+    const oldService = before?.announcement.service ?? service;
+    for (const subscriber of subscribersToAll) mark(subscriber, instance);
+    for (const subscriber of byService.get(service) ?? [])
+      mark(subscriber, instance);
+    if (oldService === service) return;
+    for (const subscriber of byService.get(oldService) ?? [])
+      mark(subscriber, instance);
   }
 
-  store.onChange(spread);
+  store.onChange(markForSubscribers);
 
   return {
     add(send) {
-      const taker: Taker = {
+      const subscriber: SubscriberState = {
         send,
         services: new Set(),
         pending: new Set(),
@@ -147,12 +155,12 @@
         flushedAt: -Infinity,
       };
       return {
-        subscribe: (all, listed) => subscribe(taker, all, listed),
-        flush: () => flush(taker),
-        digest: () => digest(taker),
+        subscribe: (all, listed) => subscribe(subscriber, all, listed),
+        flush: () => flush(subscriber),
+        digest: () => digest(subscriber),
         end() {
-          unsubscribe(taker);
-          taker.flush?.cancel();
+          unsubscribe(subscriber);
+          subscriber.flush?.cancel();
         },
       };
     },
