--- a/src/keepers/keeper-assigner.test.ts
+++ b/src/keepers/keeper-assigner.test.ts
@@ -17,7 +17,7 @@
 const retention = 60_000;
 const domains = ['rusayl-a', 'rusayl-b', 'seeb-c'];
 
-/** Control, nodes with keepers and one gate, joined as the processes are. */
+/** Starts control, nodes with keepers and one gate, linked as in production. */
 async function start(count = 4) {
   const timers = createFakeTimers(1);
   const network = createFakeNetwork(timers);
@@ -28,10 +28,10 @@
   const machine = group.machine('control-1');
   const nodes = new Map<string, {part: ClaimKeeper; known: KnownInstance}>();
   const runs = {count: 0};
-  let life = 0;
+  let incarnation = 0;
 
   async function startNode(name: string, index: number): Promise<void> {
-    const keeper = {address: `${name}:1`, incarnation: ++life};
+    const keeper = {address: `${name}:1`, incarnation: ++incarnation};
     const failureDomain = domains[index % 3]!;
     const part = await createKeeper({
       self: {instance: name, failureDomain, ...keeper},
@@ -43,7 +43,7 @@
     const known: KnownInstance = {
       instance: name,
       service,
-      incarnation: life,
+      incarnation,
       sequence: 1,
       state: 'serving',
       gate: `${name}:2`,
@@ -55,7 +55,7 @@
       keeper,
     };
     nodes.set(name, {part, known});
-    tell();
+    assignKeepers();
   }
 
   function stopNode(name: string): void {
@@ -64,7 +64,7 @@
     network.kill(name);
   }
 
-  /** Announces a drain and, unless it is in a hurry, hands claims over. */
+  /** Announces a drain and, unless `inHurry`, hands claims over. */
   async function drainNode(name: string, inHurry: boolean): Promise<void> {
     const node = nodes.get(name)!;
     nodes.set(name, {...node, known: {...node.known, state: 'draining'}});
@@ -74,7 +74,7 @@
     await leaving;
   }
 
-  function tell(): void {
+  function assignKeepers(): void {
     const keepers = machine.current().services.get(service)?.keepers;
     if (keepers === undefined) return;
     for (const {part} of nodes.values()) part.assign(service, keepers);
@@ -95,12 +95,17 @@
     assignment: name => machine.current().services.get(name)?.keepers,
   });
 
-  /** Books under a key and loses the answer; tells what the caller sees. */
+  /** Books under a key and loses the answer; returns the outcome for the caller. */
   async function book(key: string): Promise<string> {
     const deadline = timers.now() + 1000;
-    const asked = claims.acquire({service, key, fingerprint: 'f', deadline});
+    const acquiring = claims.acquire({
+      service,
+      key,
+      fingerprint: 'f',
+      deadline,
+    });
     await timers.advanceAsync(1100);
-    const outcome = await asked;
+    const outcome = await acquiring;
     if (outcome.kind === 'refused') return outcome.code.name;
     if (outcome.kind === 'granted') {
       runs.count++;
@@ -110,8 +115,8 @@
     return outcome.kind;
   }
 
-  machine.onChange(tell);
-  const appointer = createKeeperAssigner({
+  machine.onChange(assignKeepers);
+  const assigner = createKeeperAssigner({
     name: 'control-1',
     consensus: group.member('control-1'),
     machine,
@@ -132,7 +137,7 @@
   return {
     timers,
     group,
-    appointer,
+    assigner,
     startNode,
     drainNode,
     stopNode,
@@ -144,7 +149,7 @@
   };
 }
 
-test('keepers are appointed, and keyed work runs once they are', async t => {
+test('keyed work runs only after keepers are assigned', async t => {
   const stage = await start();
   t.is(await stage.book('early'), 'keepers-unavailable');
   await stage.timers.advanceAsync(4000);
@@ -153,14 +158,14 @@
   t.is(await stage.book('key'), 'run-outcome-unknown');
 });
 
-test('only the leader appoints', async t => {
+test('only the leader assigns keepers', async t => {
   const stage = await start();
   stage.group.lead('control-2');
   await stage.timers.advanceAsync(10_000);
   t.is(stage.keepers(), undefined);
 });
 
-test('an operator who puts the service again leaves its keepers alone', async t => {
+test('an operator who puts the service again does not change its keepers', async t => {
   const stage = await start();
   await stage.timers.advanceAsync(4000);
   const before = stage.keepers();
@@ -168,10 +173,10 @@
   t.deepEqual(stage.keepers(), before);
 });
 
-// What the caller sees: every keeper that voted for its booking is restarted,
-// one after the other, and its resend must still be told. Order: each restart
-// empties one memory; the appointer names the new life; it copies the claims.
-test('claims outlive the restart of every keeper, one by one', async t => {
+// Guards against losing a claim when all keepers that voted for it restart one
+// after the other. Each restart loses one keeper's memory; the assigner puts its
+// new incarnation into the set, which copies the claims from the other members.
+test('claims survive the restart of every keeper, one after the other', async t => {
   const stage = await start();
   await stage.timers.advanceAsync(4000);
   t.is(await stage.book('key'), 'granted');
@@ -188,22 +193,22 @@
   t.is(stage.runs.count, 2);
 });
 
-test('a keeper that dies for good is replaced', async t => {
+test('a keeper that crashes and does not return is replaced', async t => {
   const stage = await start();
   await stage.timers.advanceAsync(4000);
   t.is(await stage.book('key'), 'granted');
-  const dead = stage.memberNames()[0]!;
-  stage.stopNode(dead);
+  const stopped = stage.memberNames()[0]!;
+  stage.stopNode(stopped);
   await stage.timers.advanceAsync(8000);
-  t.false(stage.memberNames().includes(dead));
+  t.false(stage.memberNames().includes(stopped));
   stage.stopNode(stage.memberNames()[0]!);
   t.is(await stage.book('key'), 'run-outcome-unknown');
 });
 
-// What the caller sees: two of three keepers restart together and with them
-// most memories of its booking. Its resend is refused as not run, with a code
-// of its own, until the retention time has passed; it is never run silently.
-test('two restarts at once refuse keyed work for the retention time', async t => {
+// Guards against running a booking twice after two of three keepers restart
+// together and lose its claim. A resend is refused as not run with the code
+// `keepers-lost` until the retention time has passed.
+test('keyed work is refused for the retention time after two keepers restart at once', async t => {
   const stage = await start();
   await stage.timers.advanceAsync(4000);
   t.is(await stage.book('key'), 'granted');
@@ -218,7 +223,7 @@
   t.is(await stage.book('later'), 'granted');
 });
 
-/** Restarts two keepers' nodes as planned stops, one right after the other. */
+/** Restarts two keepers' nodes as planned stops, directly one after the other. */
 async function restartTwo(inHurry: boolean): Promise<string> {
   const stage = await start(5);
   await stage.timers.advanceAsync(4000);
@@ -232,22 +237,21 @@
   return stage.book('key');
 }
 
-// What the caller sees: keyed work of a service refused for the retention time
-// because an upgrade restarted two of its nodes. Order: the second keeper stops
-// before the first one's place is taken. A stop that waits for the handover
-// loses nothing.
-test('planned stops hand claims over before they go on', async t => {
+// Guards against an upgrade that restarts two nodes and makes keyed work of the
+// service fail for the retention time. This happens when the second keeper stops
+// before the first is replaced; a stop that waits for the handover loses no claim.
+test('a planned stop hands claims over before it continues', async t => {
   t.is(await restartTwo(true), 'keepers-lost');
   t.is(await restartTwo(false), 'run-outcome-unknown');
 });
 
-test('an operator may accept the loss and go on at once', async t => {
+test('an operator can accept the loss, after which keyed work runs at once', async t => {
   const stage = await start(6);
   await stage.timers.advanceAsync(4000);
   for (const name of stage.memberNames().slice(0, 2)) stage.stopNode(name);
   await stage.timers.advanceAsync(8000);
   t.is(await stage.book('key'), 'keepers-unavailable');
-  const accepted = await stage.appointer.acceptLoss(service);
+  const accepted = await stage.assigner.acceptLoss(service);
   t.true(accepted.ok);
   t.is(await stage.book('key'), 'granted');
 });
--- a/src/keepers/keeper-assigner.ts
+++ b/src/keepers/keeper-assigner.ts
@@ -1,4 +1,7 @@
-/** The leader's part in keeper sets: sees to it that each service has one. */
+/**
+ * Assigns a set of keepers to each service, while its control process is the
+ * leader.
+ */
 import {claimCodes} from '../claims/codes.js';
 import {createKeeperPeers} from '../claims/peers.js';
 import {majorityOf} from '../claims/verdict.js';
@@ -21,33 +24,34 @@
 import {isAnnounced, planAfterAcceptedLoss, planKeepers} from './plan.js';
 import type {ServiceView} from './plan.js';
 
-/** What an appointer is made of. */
+/** Options of `createKeeperAssigner`. */
 export interface KeeperAssignerOptions {
   /** The control process's name. */
   readonly name: string;
   readonly consensus: Pick<Consensus, 'propose' | 'status'>;
   readonly machine: Pick<ConfigurationMachine, 'prepare' | 'current'>;
-  /** All instances, as this control process knows them. */
+  /** The instances in this control process's table. */
   readonly endpoints: Pick<EndpointView, 'instances'>;
   readonly network: Network;
   readonly timers: Timers;
   readonly log: Log;
-  /** Milliseconds for which keepers keep claims; the same at every node. */
+  /** Milliseconds for which keepers retain claims; the same at every node. */
   readonly retention: number;
-  /** Milliseconds between two looks; default 500. */
+  /** Milliseconds between two checks; default 500. */
   readonly period?: number;
-  /** Milliseconds a member may be unseen before it is replaced; default 5000. */
+  /** Milliseconds after which an absent member is replaced; default 5000. */
   readonly missingTimeout?: number;
-  /** Milliseconds to wait for a service's first instances; default 3000. */
+  /** Milliseconds to wait for more instances after the first; default 3000. */
   readonly firstAssignmentDelay?: number;
 }
 
-/** Appoints keepers while its control process leads. */
+/** Assigns keepers while its control process is the leader. */
 export interface KeeperAssigner {
   /**
-   * An operator's word that the current keepers' processes are stopped and
-   * their claims given up: the next set holds claims at once. A resend of work
-   * whose claim was lost may then run again.
+   * Assigns a new set that holds claims at once. By calling this, an operator
+   * confirms that the processes of the current keepers are stopped and that the
+   * loss of their claims is acceptable: a resend of work whose claim was lost may
+   * then run again.
    */
   acceptLoss(service: string): Promise<Result<Answer>>;
   stop(): void;
@@ -56,10 +60,13 @@
 const defaultPeriod = 500;
 const defaultMissingGrace = 5000;
 const defaultFirstGrace = 3000;
+/** Milliseconds to wait for keepers to confirm that they hold claims. */
 const inquiryTimeout = 300;
 
-/** Creates the appointer of a control process; idle unless it leads. */
-export function createKeeperAssigner(options: KeeperAssignerOptions): KeeperAssigner {
+/** Creates the assigner of a control process; it is idle unless it leads. */
+export function createKeeperAssigner(
+  options: KeeperAssignerOptions,
+): KeeperAssigner {
   const {consensus, machine, endpoints, timers} = options;
   const log = options.log.scope('keepers');
   const missingGrace = options.missingTimeout ?? defaultMissingGrace;
@@ -70,14 +77,14 @@
     machine,
     clock: timers,
   });
-  const peers = createKeeperPeers(options.network, timers);
-  /** When each service's member was first found missing. */
+  const keeperClient = createKeeperPeers(options.network, timers);
+  /** When each member was first found absent, by service, address, incarnation. */
   const missingSince = new Map<string, number>();
-  const firstSeen = new Map<string, number>();
-  const complained = new Set<string>();
-  let isBusy = false;
+  const firstSeenAt = new Map<string, number>();
+  const reportedServices = new Set<string>();
+  let isChecking = false;
 
-  function noteMissing(
+  function isMissingTooLong(
     service: string,
     member: Keeper,
     instances: readonly KnownInstance[],
@@ -92,10 +99,10 @@
     return timers.now() - since >= missingGrace;
   }
 
-  function noteFirst(service: string, count: number): boolean {
+  function isFirstDelayOver(service: string, count: number): boolean {
     if (count === 0) return false;
-    const since = firstSeen.get(service) ?? timers.now();
-    firstSeen.set(service, since);
+    const since = firstSeenAt.get(service) ?? timers.now();
+    firstSeenAt.set(service, since);
     return timers.now() - since >= firstGrace;
   }
 
@@ -105,7 +112,7 @@
     const members = current?.members ?? [];
     const instances = endpoints.instances(service);
     const missing = members
-      .filter(member => noteMissing(service, member, instances))
+      .filter(member => isMissingTooLong(service, member, instances))
       .map(({address}) => address);
     return {
       service,
@@ -113,53 +120,53 @@
       instances,
       missing: new Set(missing),
       retention: options.retention,
-      // Above every epoch of an earlier service of that name, too.
+      // This is also above every epoch of an earlier service with that name.
       nextEpoch: Math.max(version, current?.epoch ?? 0) + 1,
-      isSettled: noteFirst(service, instances.length),
+      isSettled: isFirstDelayOver(service, instances.length),
     };
   }
 
-  /** Whether enough members hold claims in the set's epoch. */
+  /** Whether a majority of members holds claims in the set's epoch. */
   function isInForce(service: string, set: KeeperSet): Promise<boolean> {
     return new Promise(resolve => {
-      const asking: Subscription[] = [];
-      let active = 0;
-      const end = (result: boolean) => {
-        for (const subscription of asking) subscription.cancel();
+      const inquiries: Subscription[] = [];
+      let activeCount = 0;
+      const finish = (result: boolean) => {
+        for (const subscription of inquiries) subscription.cancel();
         resolve(result);
       };
-      asking.push(timers.after(inquiryTimeout, () => end(false)));
+      inquiries.push(timers.after(inquiryTimeout, () => finish(false)));
       for (const member of set.members) {
         const question = {kind: 'inquire', service} as const;
-        const subscription = peers.ask(member, question, reply => {
+        const subscription = keeperClient.ask(member, question, reply => {
           if (reply.kind !== 'standing' || !reply.active) return;
           if (reply.epoch !== set.epoch) return;
-          active++;
-          if (active >= majorityOf(set.members.length)) end(true);
+          activeCount++;
+          if (activeCount >= majorityOf(set.members.length)) finish(true);
         });
-        asking.push(subscription);
+        inquiries.push(subscription);
       }
     });
   }
 
-  function complain(service: string, missing: readonly string[]): void {
-    if (complained.has(service)) return;
-    complained.add(service);
-    log.error('most keepers are out of sight; keyed work is refused', {
+  function logStuck(service: string, missing: readonly string[]): void {
+    if (reportedServices.has(service)) return;
+    reportedServices.add(service);
+    log.error('most keepers are unreachable; keyed work is refused', {
       service,
       missing: missing.join(', '),
-      action: 'bring them back, or stop them and accept the loss',
+      action: 'restore them, or stop them and accept the loss',
     });
   }
 
-  async function planOne(service: string): Promise<Edit | undefined> {
+  async function planService(service: string): Promise<Edit | undefined> {
     const plan = planKeepers(view(service));
-    if (plan.kind === 'stuck') complain(service, plan.missing);
-    else complained.delete(service);
+    if (plan.kind === 'stuck') logStuck(service, plan.missing);
+    else reportedServices.delete(service);
     if (plan.kind !== 'appoint') return undefined;
     const {next} = plan;
-    // The next set copies claims from this one; a set that never came into
-    // force has none to give, and a successor could never begin.
+    // The next set copies claims from the previous one. A set that does not hold
+    // claims has none to copy, and its successor could never start.
     const {previous} = next;
     const isReady =
       previous === undefined || (await isInForce(service, previous));
@@ -172,24 +179,25 @@
     return {action: 'put', item: {kind: 'service', value}};
   }
 
-  async function look(): Promise<void> {
+  async function check(): Promise<void> {
     if (consensus.status().role !== 'leader') return;
     const {version, services} = machine.current();
-    const planned = await Promise.all([...services.keys()].map(planOne));
+    const planned = await Promise.all([...services.keys()].map(planService));
     const edits = planned.filter(edit => edit !== undefined);
     if (edits.length === 0) return;
-    const answer = await propose(edits, version);
-    // A change of operators came between; the next look plans on its result.
-    if (answer.ok) {
-      const {code, version: made} = answer.value;
-      log.info('keepers appointed', {code, version: made});
+    const proposed = await propose(edits, version);
+    // It fails if an operator's change was applied first; the next check plans
+    // with that configuration.
+    if (proposed.ok) {
+      const {code, version: newVersion} = proposed.value;
+      log.info('keepers assigned', {code, version: newVersion});
     }
   }
 
-  const ticking = timers.every(options.period ?? defaultPeriod, () => {
-    if (isBusy) return;
-    isBusy = true;
-    void look().finally(() => (isBusy = false));
+  const checks = timers.every(options.period ?? defaultPeriod, () => {
+    if (isChecking) return;
+    isChecking = true;
+    void check().finally(() => (isChecking = false));
   });
 
   return {
@@ -207,8 +215,8 @@
       return propose([toEdit(service, next)], version);
     },
     stop() {
-      ticking.cancel();
-      peers.stop();
+      checks.cancel();
+      keeperClient.stop();
     },
   };
 }
--- a/src/keepers/plan.test.ts
+++ b/src/keepers/plan.test.ts
@@ -1,7 +1,11 @@
 import test from 'ava';
 import type {KeeperAssignment} from '../configuration/configuration.js';
 import type {KnownInstance} from '../endpoints/messages.js';
-import {planAfterAcceptedLoss, planKeepers, quarantineDuration} from './plan.js';
+import {
+  planAfterAcceptedLoss,
+  planKeepers,
+  quarantineDuration,
+} from './plan.js';
 import type {Plan, ServiceView} from './plan.js';
 
 const retention = 60_000;
@@ -9,8 +13,8 @@
 function instance(
   name: string,
   failureDomain: string,
-  life = 1,
-  more: Partial<KnownInstance> = {},
+  incarnation = 1,
+  overrides: Partial<KnownInstance> = {},
 ): KnownInstance {
   return {
     instance: name,
@@ -24,12 +28,12 @@
     slots: 20,
     connections: 110,
     since: 0,
-    keeper: {address: `${name}:2`, incarnation: life},
-    ...more,
+    keeper: {address: `${name}:2`, incarnation},
+    ...overrides,
   };
 }
 
-const seven = [
+const sevenInstances = [
   instance('s1', 'rusayl-a'),
   instance('s2', 'rusayl-b'),
   instance('s3', 'seeb-c'),
@@ -39,16 +43,16 @@
   instance('s7', 'rusayl-a'),
 ];
 
-function view(more: Partial<ServiceView> = {}): ServiceView {
+function view(overrides: Partial<ServiceView> = {}): ServiceView {
   return {
     service: 'stock-desk',
     current: undefined,
-    instances: seven,
+    instances: sevenInstances,
     missing: new Set(),
     retention,
     nextEpoch: 10,
     isSettled: true,
-    ...more,
+    ...overrides,
   };
 }
 
@@ -61,24 +65,27 @@
   return expectSet(planKeepers(view()));
 }
 
-/** The instances after `change` was made to one of them. */
-function changed(
+/** The instances with `change` applied to one of them. */
+function withChange(
   name: string,
   change: Partial<KnownInstance>,
-  instances = seven,
+  instances = sevenInstances,
 ): KnownInstance[] {
   return instances.map(one =>
     one.instance === name ? {...one, ...change} : one,
   );
 }
 
-function restarted(name: string, instances = seven): KnownInstance[] {
+function withRestart(
+  name: string,
+  instances = sevenInstances,
+): KnownInstance[] {
   const keeper = {address: `${name}:2`, incarnation: 2};
-  return changed(name, {keeper}, instances);
+  return withChange(name, {keeper}, instances);
 }
 
 function without(names: readonly string[]): KnownInstance[] {
-  return seven.filter(one => !names.includes(one.instance));
+  return sevenInstances.filter(one => !names.includes(one.instance));
 }
 
 test('the first set has three keepers in three failure domains', t => {
@@ -89,20 +96,20 @@
   t.is(epoch, 10);
 });
 
-test('nothing is appointed before the first instances had time', t => {
+test('no keepers are assigned before the first instances have had time to appear', t => {
   t.is(planKeepers(view({isSettled: false})).kind, 'none');
   t.is(planKeepers(view({instances: []})).kind, 'none');
 });
 
-test('a set that is whole stays as it is', t => {
+test('a full set of live members stays unchanged', t => {
   t.is(planKeepers(view({current: first()})).kind, 'none');
 });
 
-test('a restarted member comes back as another life of itself or another', t => {
+test('a restarted member is replaced by its new incarnation or another instance', t => {
   const current = first();
   const name = current.members[0]!.instance;
   const next = expectSet(
-    planKeepers(view({current, instances: restarted(name), nextEpoch: 11})),
+    planKeepers(view({current, instances: withRestart(name), nextEpoch: 11})),
   );
   t.deepEqual(next.previous, {epoch: 10, members: current.members});
   t.is(next.members.length, 3);
@@ -110,16 +117,16 @@
   t.is(old.length, 2);
 });
 
-test('a draining member is replaced while it still answers', t => {
+test('a draining member is replaced without a quarantine', t => {
   const current = first();
   const name = current.members[1]!.instance;
-  const instances = changed(name, {state: 'draining'});
+  const instances = withChange(name, {state: 'draining'});
   const next = expectSet(planKeepers(view({current, instances})));
   t.false(next.members.some(member => member.instance === name));
   t.is(next.quarantine, undefined);
 });
 
-test('a member out of sight is replaced after its grace, not before', t => {
+test('an absent member is replaced after the timeout but not before', t => {
   const current = first();
   const name = current.members[2]!.instance;
   const instances = without([name]);
@@ -132,25 +139,27 @@
 test('one member is replaced at a time', t => {
   const current = first();
   const [one, two] = current.members.map(member => member.instance);
-  const instances = changed(two!, {state: 'draining'}, restarted(one!));
+  const instances = withChange(two!, {state: 'draining'}, withRestart(one!));
   const next = expectSet(planKeepers(view({current, instances})));
-  const kept = current.members.filter(member => next.members.includes(member));
-  t.is(kept.length, 2);
+  const staying = current.members.filter(member =>
+    next.members.includes(member),
+  );
+  t.is(staying.length, 2);
 });
 
-test('two lives lost put the next set under quarantine', t => {
+test('the next set is quarantined after two members have restarted', t => {
   const current = first();
   const [one, two] = current.members.map(member => member.instance);
-  const instances = restarted(two!, restarted(one!));
+  const instances = withRestart(two!, withRestart(one!));
   const next = expectSet(planKeepers(view({current, instances})));
   t.is(next.quarantine, quarantineDuration(retention));
   t.is(next.previous, undefined);
 });
 
-// Two keepers that can't be seen may be alive in a partition and go on voting
-// for gates on their side. A new set, even after the retention time, could
-// then run what they run: only an operator who stopped them may say so.
-test('two members out of sight are never replaced without an operator', t => {
+// Two unreachable keepers may be alive in a partition and continue to vote for
+// gates on their side. A new set, even after the retention time, could then grant
+// the same work again. Only an operator who has stopped them may replace them.
+test('two unreachable members are never replaced without an operator', t => {
   const current = first();
   const names = current.members.slice(0, 2).map(member => member.instance);
   const stuck = view({
@@ -165,7 +174,7 @@
 });
 
 test('a service with few instances has one keeper until there are three', t => {
-  const few = seven.slice(0, 2);
+  const few = sevenInstances.slice(0, 2);
   const current = expectSet(planKeepers(view({instances: few})));
   t.is(current.members.length, 1);
   t.is(planKeepers(view({current, instances: few})).kind, 'none');
@@ -174,11 +183,11 @@
   t.deepEqual(next.previous, {epoch: 10, members: current.members});
 });
 
-test('suspect instances and nodes without a keeper hold no claims', t => {
+test('suspect instances and nodes without a keeper are not assigned', t => {
   const instances = [
-    {...seven[0]!, suspect: true},
-    {...seven[1]!, keeper: undefined},
-    seven[2]!,
+    {...sevenInstances[0]!, suspect: true},
+    {...sevenInstances[1]!, keeper: undefined},
+    sevenInstances[2]!,
   ];
   const {members} = expectSet(planKeepers(view({instances})));
   t.deepEqual(
@@ -187,35 +196,35 @@
   );
 });
 
-/** Two members' nodes, announced with other keepers than the set names. */
-function announceOthers(
+/** Plans after two members' nodes announce other keepers than the set has. */
+function planWithKeepers(
   address: (name: string) => string,
   incarnation: number,
 ): Plan {
-  const current = expectSet(planKeepers(view({instances: livesOfFive})));
-  let instances: KnownInstance[] = [...livesOfFive];
+  const current = expectSet(planKeepers(view({instances: fifthIncarnations})));
+  let instances: KnownInstance[] = [...fifthIncarnations];
   for (const {instance: name} of current.members.slice(0, 2)) {
     const keeper = {address: address(name), incarnation};
-    instances = changed(name, {keeper}, instances);
+    instances = withChange(name, {keeper}, instances);
   }
   const missing = new Set(current.members.slice(0, 2).map(one => one.address));
   return planKeepers(view({current, instances, missing}));
 }
 
-const livesOfFive = seven.map(one => ({
+const fifthIncarnations = sevenInstances.map(one => ({
   ...one,
   keeper: {address: `${one.instance}:2`, incarnation: 5},
 }));
 
-// A set that is followed under quarantine is not sealed first, so its members
-// must be certainly dead. A registry that lags shows former lives, and a VM
-// that took the name of one that is cut off shows a later life elsewhere: in
-// both cases the members may be voting, and two sets would.
-test('only a later life at the same address proves a loss', t => {
+// A set that is replaced under quarantine is not sealed first, so its members must
+// certainly be dead. A registry that lags shows earlier incarnations, and a VM
+// that uses the name of a partitioned one shows a later incarnation elsewhere. In
+// both cases the old members may still vote, and two sets would grant work.
+test('only a later incarnation at the same address proves a loss', t => {
   const same = (name: string) => `${name}:2`;
   const other = (name: string) => `${name}:9`;
-  t.is(announceOthers(same, 4).kind, 'stuck');
-  t.is(announceOthers(other, 6).kind, 'stuck');
-  const {quarantine} = expectSet(announceOthers(same, 6));
+  t.is(planWithKeepers(same, 4).kind, 'stuck');
+  t.is(planWithKeepers(other, 6).kind, 'stuck');
+  const {quarantine} = expectSet(planWithKeepers(same, 6));
   t.is(quarantine, quarantineDuration(retention));
 });
--- a/src/keepers/plan.ts
+++ b/src/keepers/plan.ts
@@ -1,116 +1,129 @@
-/** Chooses keeper sets; a plain decision from what the leader sees. */
+/**
+ * Chooses the keepers of a service from the leader's view of its instances,
+ * without side effects.
+ */
 import murmurhash from 'murmurhash';
 import {isSameLife} from '../claims/tenure.js';
 import {majorityOf} from '../claims/verdict.js';
 import type {Keeper, KeeperAssignment} from '../configuration/configuration.js';
 import type {KnownInstance} from '../endpoints/messages.js';
 
-/** Keepers of a full set: one may fail without anyone noticing. */
-const fullSet = 3;
+/** Number of keepers in a full set; one may fail without any effect on callers. */
+const fullSetSize = 3;
 
 /**
- * Milliseconds for which a vote of a keeper that died may still count at a gate
- * that waits for a second one; gates give votes up after 1 s.
+ * Milliseconds for which the vote of a crashed keeper may still be counted by a
+ * gate that waits for a second vote; gates discard votes after 1 s.
  */
-const lateVotes = 5000;
+const lateVoteTime = 5000;
 
-/** Milliseconds that a set waits after most of the one before was lost. */
+/**
+ * Milliseconds that a set waits before it holds claims, after a majority of the
+ * previous set was lost.
+ */
 export function quarantineDuration(retention: number): number {
-  return retention + lateVotes;
+  return retention + lateVoteTime;
 }
 
-/** What the leader sees of one service. */
+/** The leader's view of one service. */
 export interface ServiceView {
   readonly service: string;
   readonly current: KeeperAssignment | undefined;
   readonly instances: readonly KnownInstance[];
-  /** Addresses of members whose lives have been unseen for long enough. */
+  /** Addresses of members that have been absent for the timeout. */
   readonly missing: ReadonlySet<string>;
-  /** Milliseconds for which claims are kept. */
+  /** Milliseconds for which keepers retain claims. */
   readonly retention: number;
-  /** An epoch above all that the service ever had. */
+  /** An epoch above all previous epochs of the service. */
   readonly nextEpoch: number;
-  /** Whether the first instances have had time to appear. */
+  /** Whether the service's first instances have had time to be announced. */
   readonly isSettled: boolean;
 }
 
 /**
- * What to do about a service's keepers.
- * - `appoint`: the set is to be put; `needs` says which set must hold claims.
- * - `stuck`: most members can't be reached and may still be alive.
+ * The change of a service's keepers.
+ * - `appoint`: put the next set into the configuration. If it has a `previous`
+ *   set, that one must hold claims first.
+ * - `stuck`: a majority of members is unreachable and may still be alive.
  */
 export type Plan =
   | {readonly kind: 'none'}
   | {readonly kind: 'appoint'; readonly next: KeeperAssignment}
   | {readonly kind: 'stuck'; readonly missing: readonly string[]};
 
-/** Decides about one service. */
+/** Plans the keepers of one service. */
 export function planKeepers(view: ServiceView): Plan {
   if (view.current === undefined) return planFirst(view);
   const {current, instances} = view;
-  const known = new Map(instances.map(one => [one.keeper?.address, one]));
-  const lost = current.members.filter(member => isLost(member, known));
-  const gone = current.members.filter(
+  const byAddress = new Map(instances.map(one => [one.keeper?.address, one]));
+  const lost = current.members.filter(member => isLost(member, byAddress));
+  const unreachable = current.members.filter(
     member => !lost.includes(member) && view.missing.has(member.address),
   );
   const size = current.members.length;
-  const spare = size - majorityOf(size);
-  if (lost.length > spare) return planAfterLoss(view, current);
-  if (lost.length + gone.length > spare) {
-    return {kind: 'stuck', missing: [...lost, ...gone].map(nameOf)};
+  const maxLost = size - majorityOf(size);
+  if (lost.length > maxLost) return planAfterLoss(view, current);
+  if (lost.length + unreachable.length > maxLost) {
+    return {kind: 'stuck', missing: [...lost, ...unreachable].map(instanceOf)};
   }
-  return planChange(view, current, [...lost, ...gone]);
+  return planChange(view, current, [...lost, ...unreachable]);
 }
 
-/** The set after an operator accepted the loss of the current one's claims. */
-export function planAfterAcceptedLoss(view: ServiceView): KeeperAssignment | undefined {
-  const members = choose([], candidatesOf(view), fullSet);
+/** The next set when an operator accepts the loss of the current set's claims. */
+export function planAfterAcceptedLoss(
+  view: ServiceView,
+): KeeperAssignment | undefined {
+  const members = chooseMembers([], candidatesOf(view), fullSetSize);
   if (members.length === 0) return undefined;
   return {epoch: view.nextEpoch, members};
 }
 
 function planFirst(view: ServiceView): Plan {
   const candidates = candidatesOf(view);
-  const wanted = candidates.length >= fullSet ? fullSet : 1;
+  const size = candidates.length >= fullSetSize ? fullSetSize : 1;
   if (candidates.length === 0 || !view.isSettled) return {kind: 'none'};
-  const members = choose([], candidates, wanted);
+  const members = chooseMembers([], candidates, size);
   return {kind: 'appoint', next: {epoch: view.nextEpoch, members}};
 }
 
 /**
- * Most members are certainly gone, with what they alone knew. No majority of
- * the old set can ever form again, so once the retention time has passed no
- * claim of it can matter.
+ * Plans a new set after a majority of members has certainly lost its claims. The
+ * old set can never have a majority again, so its claims no longer matter once
+ * the retention time has passed.
  */
 function planAfterLoss(view: ServiceView, current: KeeperAssignment): Plan {
   const candidates = candidatesOf(view);
-  const members = choose([], candidates, fullSet);
-  const isWorse = members.length < Math.min(fullSet, current.members.length);
-  if (members.length === 0 || isWorse) return {kind: 'none'};
+  const members = chooseMembers([], candidates, fullSetSize);
+  const isSmaller =
+    members.length < Math.min(fullSetSize, current.members.length);
+  if (members.length === 0 || isSmaller) return {kind: 'none'};
   const {nextEpoch: epoch} = view;
   const quarantine = quarantineDuration(view.retention);
   return {kind: 'appoint', next: {epoch, members, quarantine}};
 }
 
-/** Replaces one bad member, fills an incomplete set, or spreads it better. */
+/**
+ * Replaces one unusable member, completes a set, or spreads it over more failure
+ * domains.
+ */
 function planChange(
   view: ServiceView,
   current: KeeperAssignment,
-  bad: readonly Keeper[],
+  unusable: readonly Keeper[],
 ): Plan {
-  const leaving = bad[0] ?? findLeaving(view, current);
-  const isFull = current.members.length >= fullSet;
-  // Nearly all services are here at nearly every look: no more work for them.
+  const leaving = unusable[0] ?? findLeaving(view, current);
+  const isFull = current.members.length >= fullSetSize;
+  // Most services return here at every check, so nothing else is computed first.
   if (leaving === undefined && isFull) return {kind: 'none'};
   const candidates = candidatesOf(view);
   const staying = current.members.filter(member => member !== leaving);
-  const fresh = candidates.filter(
+  const replacements = candidates.filter(
     candidate => !staying.some(member => isSameLife(member, candidate)),
   );
-  const canFill = staying.length + fresh.length >= fullSet;
+  const canFill = staying.length + replacements.length >= fullSetSize;
   if (leaving === undefined && !canFill) return {kind: 'none'};
-  const size = isFull || canFill ? fullSet : current.members.length;
-  const members = choose(staying, fresh, size);
+  const size = isFull || canFill ? fullSetSize : current.members.length;
+  const members = chooseMembers(staying, replacements, size);
   if (members.length < size) return {kind: 'none'};
   const previous = {epoch: current.epoch, members: current.members};
   return {
@@ -119,7 +132,7 @@
   };
 }
 
-/** A member that leaves in good order, or shares its failure domain needlessly. */
+/** A member that is draining, or that needlessly shares a failure domain. */
 function findLeaving(
   view: ServiceView,
   {members}: KeeperAssignment,
@@ -132,10 +145,10 @@
   if (draining !== undefined) return draining;
   const domains = new Set(members.map(({failureDomain}) => failureDomain));
   if (domains.size === members.length) return undefined;
-  const isFree = view.instances.some(
+  const isSpreadable = view.instances.some(
     one => isCandidate(one) && !domains.has(one.failureDomain),
   );
-  if (!isFree) return undefined;
+  if (!isSpreadable) return undefined;
   return members.find((member, index) =>
     members
       .slice(0, index)
@@ -143,23 +156,25 @@
   );
 }
 
-/** Adds to `staying` the best of `fresh`, unused failure domains first. */
-function choose(
+/** Adds candidates to the staying members, unused failure domains first. */
+function chooseMembers(
   staying: readonly Keeper[],
-  fresh: readonly Keeper[],
+  candidates: readonly Keeper[],
   size: number,
 ): Keeper[] {
   const chosen = [...staying];
-  const left = [...fresh];
-  while (chosen.length < size && left.length > 0) {
+  const remaining = [...candidates];
+  while (chosen.length < size && remaining.length > 0) {
     const used = new Set(chosen.map(({failureDomain}) => failureDomain));
-    const free = left.findIndex(({failureDomain}) => !used.has(failureDomain));
-    chosen.push(...left.splice(Math.max(free, 0), 1));
+    const index = remaining.findIndex(
+      ({failureDomain}) => !used.has(failureDomain),
+    );
+    chosen.push(...remaining.splice(Math.max(index, 0), 1));
   }
   return chosen;
 }
 
-/** Instances that can hold claims, in an order of the service's own. */
+/** Instances that can hold claims, in an order that differs between services. */
 function candidatesOf({service, instances}: ServiceView): Keeper[] {
   return instances
     .filter(isCandidate)
@@ -182,20 +197,20 @@
 }
 
 /**
- * Its node has begun a later life at the same address: what the member held is
- * certainly lost. Nothing else proves it. An announcement of an earlier life is
- * only late, and one from another address may be of a VM that took the place of
- * one that is cut off and goes on voting.
+ * Whether a member has certainly lost its claims: its node has announced a later
+ * incarnation at the same address. Nothing else proves the loss. An announcement
+ * of an earlier incarnation is only late. One from another address may belong to
+ * a VM that replaced one that is partitioned and continues to vote.
  */
 function isLost(
   member: Keeper,
-  known: ReadonlyMap<string | undefined, KnownInstance>,
+  byAddress: ReadonlyMap<string | undefined, KnownInstance>,
 ): boolean {
-  const keeper = known.get(member.address)?.keeper;
+  const keeper = byAddress.get(member.address)?.keeper;
   return keeper !== undefined && keeper.incarnation > member.incarnation;
 }
 
-/** Whether an announcement is of the member's own life. */
+/** Whether the member's own incarnation is announced. */
 export function isAnnounced(
   member: Keeper,
   instances: readonly KnownInstance[],
@@ -207,6 +222,6 @@
   );
 }
 
-function nameOf({instance}: Keeper): string {
+function instanceOf({instance}: Keeper): string {
   return instance;
 }
