--- a/src/endpoints/leases.ts
+++ b/src/endpoints/leases.ts
@@ -42,13 +42,12 @@
   sweep(): void;
 }
 
-/** Milliseconds. */
 const defaultExpiryWindow = 60_000;
 const defaultWitnesses = 2;
 /** Milliseconds for which a node's report counts. */
 const reportLifetime = 30_000;
-/** Number of expiries over all services up to which they are never held back. */
-const smallHerdSize = 8;
+/** Number of expiries over all services together that is always accepted. */
+const alwaysAllowedExpiries = 8;
 
 /** Creates a home's leases. */
 export function createLeases(options: LeasesOptions): Leases {
@@ -56,8 +55,10 @@
   const expiryShare = options.expiryShare ?? defaultExpiryShare;
   const expiryWindow = options.expiryWindow ?? defaultExpiryWindow;
   const requiredWitnesses = options.requiredWitnesses ?? defaultWitnesses;
+  /** When the lease of each instance attached to this home ends. */
   const expiresAt = new Map<string, number>();
-  const reports = new Map<string, Map<string, number>>();
+  /** When each node last reported each instance as unreachable. */
+  const reportsByInstance = new Map<string, Map<string, number>>();
   /** When the contest lease of each contested instance ends. */
   const contested = new Map<string, number>();
 
@@ -95,6 +96,7 @@
   const mayExpire = (entry: RecordEntry) =>
     entry.homeRegion === region || !options.safeguards.region;
 
+  /** Whether an instance was contested and has not renewed in time. */
   function isContestLost(instance: string): boolean {
     const end = contested.get(instance);
     return end !== undefined && end <= timers.now();
@@ -114,8 +116,8 @@
   }
 
   /**
-   * Contests all instances at the entry's gate when there are several: only one
-   * process can bind an address, so the others are dead.
+   * Contests all instances at the entry's gate when there are several. One process
+   * binds an address, so at most one of them is alive.
    */
   function contestGate(entry: RecordEntry): void {
     if (entry.goneAt !== undefined) return;
@@ -137,7 +139,7 @@
     };
     expiresAt.delete(announcement.instance);
     contested.delete(announcement.instance);
-    reports.delete(announcement.instance);
+    reportsByInstance.delete(announcement.instance);
     options.log.info('lease ran out', {
       instance: announcement.instance,
       service: announcement.service,
@@ -176,10 +178,10 @@
   }
 
   /** The same for all services together, as each may have only one instance. */
-  function isHerdExpiry(expired: number): boolean {
+  function isGlobalMassExpiry(expired: number): boolean {
     const recent = recentlyExpired(store.entries());
     const allowed = (countLive(store.entries()) + recent) * expiryShare;
-    return expired + recent > Math.max(smallHerdSize, allowed);
+    return expired + recent > Math.max(alwaysAllowedExpiries, allowed);
   }
 
   function collectExpired(): RecordEntry[] {
@@ -210,10 +212,10 @@
       const {service} = announcement;
       counts.set(service, (counts.get(service) ?? 0) + 1);
     }
-    const isHerd = isHerdExpiry(unproved.length);
+    const isGlobal = isGlobalMassExpiry(unproved.length);
     const heldServices = new Set<string>();
     for (const [service, count] of counts) {
-      if (isHerd || isMassExpiry(service, count)) heldServices.add(service);
+      if (isGlobal || isMassExpiry(service, count)) heldServices.add(service);
     }
     for (const entry of unproved) {
       if (heldServices.has(entry.announcement.service)) markSuspect(entry);
@@ -231,16 +233,16 @@
   }
 
   function isWitnessed(entry: RecordEntry): boolean {
-    const witnessTimes = reports.get(entry.announcement.instance);
+    const witnessTimes = reportsByInstance.get(entry.announcement.instance);
     return witnessTimes !== undefined && witnessTimes.size >= requiredWitnesses;
   }
 
   function dropOldReports(): void {
     const since = timers.now() - reportLifetime;
-    for (const [instance, witnessTimes] of reports) {
+    for (const [instance, witnessTimes] of reportsByInstance) {
       for (const [witness, at] of witnessTimes)
         if (at < since) witnessTimes.delete(witness);
-      if (witnessTimes.size === 0) reports.delete(instance);
+      if (witnessTimes.size === 0) reportsByInstance.delete(instance);
     }
   }
 
@@ -254,9 +256,9 @@
     }
     if (!entry.suspect) return;
     const witnessTimes =
-      reports.get(report.instance) ?? new Map<string, number>();
+      reportsByInstance.get(report.instance) ?? new Map<string, number>();
     witnessTimes.set(report.witness, timers.now());
-    reports.set(report.instance, witnessTimes);
+    reportsByInstance.set(report.instance, witnessTimes);
   }
 
   function shorten(instance: string, duration: number): void {
--- a/src/endpoints/membership.ts
+++ b/src/endpoints/membership.ts
@@ -47,12 +47,12 @@
   const send = (message: NodeMessage) => channel?.send(message);
 
   function sendSubscription(): void {
-    const known = table.serviceDigests();
+    const listed = table.serviceDigests();
     if (services === 'all') {
-      send({kind: 'subscribe', all: true, services: known});
+      send({kind: 'subscribe', all: true, services: listed});
       return;
     }
-    const digests = new Map(known.map(one => [one.service, one.digest]));
+    const digests = new Map(listed.map(item => [item.service, item.digest]));
     const requested = services.map(service => ({
       service,
       digest: digests.get(service) ?? {low: 0, high: 0},
--- a/src/endpoints/peer-homes.ts
+++ b/src/endpoints/peer-homes.ts
@@ -156,14 +156,16 @@
     buckets: readonly number[],
     remote: readonly RecordSummary[],
   ): void {
-    const known = new Map(remote.map(one => [one.instance, one]));
+    const remoteByInstance = new Map(
+      remote.map(summary => [summary.instance, summary]),
+    );
     const wanted: string[] = [];
     for (const summary of remote) {
       if (isLocalBehind(summary)) wanted.push(summary.instance);
     }
     const newer = store
       .summaries(buckets)
-      .filter(local => isAhead(local, known.get(local.instance)))
+      .filter(local => isAhead(local, remoteByInstance.get(local.instance)))
       .map(local => local.instance);
     sendInstances(session, newer);
     if (wanted.length > 0) send(session, {kind: 'wanted', instances: wanted});
--- a/src/endpoints/record-store.ts
+++ b/src/endpoints/record-store.ts
@@ -45,9 +45,13 @@
   setSuspect(instance: string, suspect: boolean): void;
   /** Removes tombstones whose retention time is over. */
   sweep(): void;
+  /** The record of an entry as it is sent to other homes. */
   record(entry: RecordEntry): EndpointRecord;
+  /** The digest of the whole table. */
   root(): Digest;
+  /** The digests of all buckets, alternating low and high parts. */
   bucketDigests(): number[];
+  /** The record versions in some buckets. */
   summaries(buckets: readonly number[]): RecordSummary[];
   bucketOf(service: string): number;
   /** The digest of a service's live instances in the nodes' view. */
@@ -87,9 +91,12 @@
   const inDigestsFor = tombstoneRetention / 2;
   const entries = new Map<string, RecordEntry>();
   const groups = new Map<string, ServiceGroup>();
-  const gates = new Map<string, Set<string>>();
-  const members = Array.from({length: bucketCount}, () => new Set<string>());
-  const buckets: Digest[] = members.map(() => emptyDigest);
+  const instancesByGate = new Map<string, Set<string>>();
+  const instancesByBucket = Array.from(
+    {length: bucketCount},
+    () => new Set<string>(),
+  );
+  const buckets: Digest[] = instancesByBucket.map(() => emptyDigest);
   const observers: RecordObserver[] = [];
   let root = emptyDigest;
   let viewDigest = emptyDigest;
@@ -118,8 +125,8 @@
       groups.set(service, group);
     }
     group.entries.set(instance, entry);
-    members[bucketOf(service)]!.add(instance);
-    if (entry.goneAt === undefined) addGate(gate, instance);
+    instancesByBucket[bucketOf(service)]!.add(instance);
+    if (entry.goneAt === undefined) addLive(gate, instance);
     if (entry.inDigests) toggleInDigests(entry);
     toggleInView(entry);
   }
@@ -128,25 +135,25 @@
     const {instance, service, gate} = entry.announcement;
     toggleInView(entry);
     if (entry.inDigests) toggleInDigests(entry);
-    if (entry.goneAt === undefined) removeGate(gate, instance);
+    if (entry.goneAt === undefined) removeLive(gate, instance);
     entries.delete(instance);
-    members[bucketOf(service)]!.delete(instance);
+    instancesByBucket[bucketOf(service)]!.delete(instance);
     const group = groups.get(service)!;
     group.entries.delete(instance);
     if (group.entries.size === 0) groups.delete(service);
   }
 
-  function addGate(gate: string, instance: string): void {
+  function addLive(gate: string, instance: string): void {
     liveCount++;
-    const set = gates.get(gate) ?? new Set();
-    gates.set(gate, set.add(instance));
+    const set = instancesByGate.get(gate) ?? new Set();
+    instancesByGate.set(gate, set.add(instance));
   }
 
-  function removeGate(gate: string, instance: string): void {
+  function removeLive(gate: string, instance: string): void {
     liveCount--;
-    const set = gates.get(gate)!;
+    const set = instancesByGate.get(gate)!;
     set.delete(instance);
-    if (set.size === 0) gates.delete(gate);
+    if (set.size === 0) instancesByGate.delete(gate);
   }
 
   function createEntry(record: EndpointRecord): RecordEntry {
@@ -179,8 +186,8 @@
    * of order through several homes; if the last one won, an instance that is gone
    * would reappear and be sent requests.
    */
-  function isStale(next: Announcement, held: Announcement): boolean {
-    return options.safeguards.order && !isNewer(next, held);
+  function isStale(next: Announcement, existing: Announcement): boolean {
+    return options.safeguards.order && !isNewer(next, existing);
   }
 
   function sweep(): void {
@@ -211,7 +218,9 @@
     ofService: service => groups.get(service)?.entries.values() ?? [],
     services: () => groups.keys(),
     liveAtGate: gate =>
-      [...(gates.get(gate) ?? [])].map(instance => entries.get(instance)!),
+      [...(instancesByGate.get(gate) ?? [])].map(instance =>
+        entries.get(instance)!,
+      ),
     merge,
     setSuspect,
     sweep,
@@ -226,7 +235,7 @@
     bucketDigests: () => buckets.flatMap(({low, high}) => [low, high]),
     summaries: wanted =>
       wanted.flatMap(bucket =>
-        [...members[bucket]!]
+        [...instancesByBucket[bucket]!]
           .map(instance => entries.get(instance)!)
           .filter(entry => entry.inDigests)
           .map(summarize),
--- a/src/endpoints/subscriptions.ts
+++ b/src/endpoints/subscriptions.ts
@@ -75,11 +75,13 @@
     listed: readonly ServiceDigest[],
   ): void {
     unsubscribe(subscriber);
-    subscriber.services = all ? 'all' : new Set(listed.map(one => one.service));
+    subscriber.services = all
+      ? 'all'
+      : new Set(listed.map(item => item.service));
     if (all) subscribersToAll.add(subscriber);
     else for (const {service} of listed) subscribersOf(service).add(subscriber);
     subscriber.pending.clear();
-    const digests = new Map(listed.map(one => [one.service, one.digest]));
+    const digests = new Map(listed.map(item => [item.service, item.digest]));
     const services = all
       ? new Set([...store.services(), ...digests.keys()])
       : digests.keys();
--- a/src/keepers/keeper-assigner.ts
+++ b/src/keepers/keeper-assigner.ts
@@ -58,8 +58,8 @@
 }
 
 const defaultPeriod = 500;
-const defaultMissingGrace = 5000;
-const defaultFirstGrace = 3000;
+const defaultMissingTimeout = 5000;
+const defaultFirstAssignmentDelay = 3000;
 /** Milliseconds to wait for keepers to confirm that they hold claims. */
 const inquiryTimeout = 300;
 
@@ -69,8 +69,9 @@
 ): KeeperAssigner {
   const {consensus, machine, endpoints, timers} = options;
   const log = options.log.scope('keepers');
-  const missingGrace = options.missingTimeout ?? defaultMissingGrace;
-  const firstGrace = options.firstAssignmentDelay ?? defaultFirstGrace;
+  const missingTimeout = options.missingTimeout ?? defaultMissingTimeout;
+  const firstAssignmentDelay =
+    options.firstAssignmentDelay ?? defaultFirstAssignmentDelay;
   const propose = createSystemProposer({
     operator: appointerName(options.name),
     consensus,
@@ -81,7 +82,7 @@
   /** When each member was first found absent, by service, address, incarnation. */
   const missingSince = new Map<string, number>();
   const firstSeenAt = new Map<string, number>();
-  const reportedServices = new Set<string>();
+  const loggedServices = new Set<string>();
   let isChecking = false;
 
   function isMissingTooLong(
@@ -96,14 +97,14 @@
     }
     const since = missingSince.get(key) ?? timers.now();
     missingSince.set(key, since);
-    return timers.now() - since >= missingGrace;
+    return timers.now() - since >= missingTimeout;
   }
 
   function isFirstDelayOver(service: string, count: number): boolean {
     if (count === 0) return false;
     const since = firstSeenAt.get(service) ?? timers.now();
     firstSeenAt.set(service, since);
-    return timers.now() - since >= firstGrace;
+    return timers.now() - since >= firstAssignmentDelay;
   }
 
   function view(service: string): ServiceView {
@@ -150,8 +151,8 @@
   }
 
   function logStuck(service: string, missing: readonly string[]): void {
-    if (reportedServices.has(service)) return;
-    reportedServices.add(service);
+    if (loggedServices.has(service)) return;
+    loggedServices.add(service);
     log.error('most keepers are unreachable; keyed work is refused', {
       service,
       missing: missing.join(', '),
@@ -162,7 +163,7 @@
   async function planService(service: string): Promise<Edit | undefined> {
     const plan = planKeepers(view(service));
     if (plan.kind === 'stuck') logStuck(service, plan.missing);
-    else reportedServices.delete(service);
+    else loggedServices.delete(service);
     if (plan.kind !== 'appoint') return undefined;
     const {next} = plan;
     // The next set copies claims from the previous one. A set that does not hold
--- a/src/keepers/plan.ts
+++ b/src/keepers/plan.ts
@@ -55,7 +55,9 @@
 export function planKeepers(view: ServiceView): Plan {
   if (view.current === undefined) return planFirst(view);
   const {current, instances} = view;
-  const byAddress = new Map(instances.map(one => [one.keeper?.address, one]));
+  const byAddress = new Map(
+    instances.map(instance => [instance.keeper?.address, instance]),
+  );
   const lost = current.members.filter(member => isLost(member, byAddress));
   const unreachable = current.members.filter(
     member => !lost.includes(member) && view.missing.has(member.address),
@@ -139,14 +141,16 @@
 ): Keeper | undefined {
   const draining = members.find(member =>
     view.instances.some(
-      one => one.keeper?.address === member.address && one.state === 'draining',
+      instance =>
+        instance.keeper?.address === member.address &&
+        instance.state === 'draining',
     ),
   );
   if (draining !== undefined) return draining;
   const domains = new Set(members.map(({failureDomain}) => failureDomain));
   if (domains.size === members.length) return undefined;
   const isSpreadable = view.instances.some(
-    one => isCandidate(one) && !domains.has(one.failureDomain),
+    instance => isCandidate(instance) && !domains.has(instance.failureDomain),
   );
   if (!isSpreadable) return undefined;
   return members.find((member, index) =>
--- a/src/quarantine/evidence-reporter.ts
+++ b/src/quarantine/evidence-reporter.ts
@@ -54,7 +54,9 @@
 
   function report(evidence: Evidence): void {
     const at = timers.now();
-    recent = recent.filter(one => at - one.at < resendFor).slice(1 - maxRecent);
+    recent = recent
+      .filter(item => at - item.at < resendFor)
+      .slice(1 - maxRecent);
     recent.push({at, evidence});
     channel?.send(evidence);
   }
