--- a/src/endpoints/fakes/mesh.ts
+++ b/src/endpoints/fakes/mesh.ts
@@ -69,7 +69,7 @@
   advance(duration: number): Promise<void>;
 }
 
-/** Milliseconds. */
+/** Milliseconds for which a lease lasts without a renewal. */
 export const lease = 10_000;
 /** Milliseconds between renewals. */
 export const renewal = 2000;
--- a/src/endpoints/health-monitor.test.ts
+++ b/src/endpoints/health-monitor.test.ts
@@ -48,9 +48,9 @@
 });
 
 test('refused connections take a dead upstream out of service though its health check succeeds', async t => {
-  // The upstream's port is closed while another process still answers its health
-  // path. Three consecutive connections of the gate are refused between two
-  // probes, so the instance is gone.
+  // The upstream's port is closed while its health path is still answered. Three
+  // consecutive connections of the gate are refused between two probes, so the
+  // instance is gone.
   const {health, state, probeFor} = start();
   await probeFor('well', 5);
   const refusal = Object.assign(new Error(), {code: 'ECONNREFUSED'});
--- a/src/endpoints/leases.ts
+++ b/src/endpoints/leases.ts
@@ -233,16 +233,15 @@
   }
 
   function isWitnessed(entry: RecordEntry): boolean {
-    const witnessTimes = reportsByInstance.get(entry.announcement.instance);
-    return witnessTimes !== undefined && witnessTimes.size >= requiredWitnesses;
+    const times = reportsByInstance.get(entry.announcement.instance);
+    return times !== undefined && times.size >= requiredWitnesses;
   }
 
   function dropOldReports(): void {
     const since = timers.now() - reportLifetime;
-    for (const [instance, witnessTimes] of reportsByInstance) {
-      for (const [witness, at] of witnessTimes)
-        if (at < since) witnessTimes.delete(witness);
-      if (witnessTimes.size === 0) reportsByInstance.delete(instance);
+    for (const [instance, times] of reportsByInstance) {
+      for (const [witness, at] of times) if (at < since) times.delete(witness);
+      if (times.size === 0) reportsByInstance.delete(instance);
     }
   }
 
@@ -255,10 +254,10 @@
       return;
     }
     if (!entry.suspect) return;
-    const witnessTimes =
+    const times =
       reportsByInstance.get(report.instance) ?? new Map<string, number>();
-    witnessTimes.set(report.witness, timers.now());
-    reportsByInstance.set(report.instance, witnessTimes);
+    times.set(report.witness, timers.now());
+    reportsByInstance.set(report.instance, times);
   }
 
   function shorten(instance: string, duration: number): void {
--- a/src/quarantine/quarantine-controller.ts
+++ b/src/quarantine/quarantine-controller.ts
@@ -72,29 +72,30 @@
     machine,
     clock: timers,
   });
-  let currentQuarantines: ReadonlyMap<string, Quarantine> = new Map();
+  /** The quarantines of the last configuration that was applied. */
+  let applied: ReadonlyMap<string, Quarantine> = new Map();
   /** When each quarantine's state was applied here, by the monotonic clock. */
-  const stateChangedAt = new Map<string, number>();
+  const changedAt = new Map<string, number>();
   let isChecking = false;
-  let wasFull = false;
+  /** Whether quarantines are waiting for room; logged once when that begins. */
+  let isFull = false;
   let isCheckScheduled = false;
 
   function applyConfiguration(): void {
     const {quarantines} = machine.current();
     for (const [name, quarantine] of quarantines) {
-      if (currentQuarantines.get(name) !== quarantine)
-        stateChangedAt.set(name, timers.now());
+      if (applied.get(name) !== quarantine) changedAt.set(name, timers.now());
     }
-    for (const name of currentQuarantines.keys()) {
+    for (const name of applied.keys()) {
       if (!quarantines.has(name)) discard(name);
     }
-    currentQuarantines = quarantines;
+    applied = quarantines;
   }
 
   /** Discards the evidence of a removed quarantine, so that counting restarts. */
   function discard(name: string): void {
     suspectTable.reset(name);
-    stateChangedAt.delete(name);
+    changedAt.delete(name);
   }
 
   /** Incarnations on which a trial may run; empty while only watched. */
@@ -117,7 +118,7 @@
       hasService: service !== undefined && services.has(service),
       servingIncarnations: trialIncarnations(quarantine),
       hasTrialInstanceEnded: suspectTable.hasEnded(quarantine?.trialAt ?? ''),
-      age: timers.now() - (stateChangedAt.get(name) ?? timers.now()),
+      age: timers.now() - (changedAt.get(name) ?? timers.now()),
       wall: timers.wall(),
     };
     return planQuarantine(input, options.safeguards);
@@ -147,9 +148,8 @@
   }
 
   function logMissingRoom(missing: number): void {
-    if (missing > 0 && !wasFull)
-      log.error('no room for quarantines', {missing});
-    wasFull = missing > 0;
+    if (missing > 0 && !isFull) log.error('no room for quarantines', {missing});
+    isFull = missing > 0;
   }
 
   function logPlan(name: string, plan: Plan): void {
