--- a/src/endpoints/peer-homes.ts
+++ b/src/endpoints/peer-homes.ts
@@ -69,7 +69,7 @@
   const {name, timers, store} = options;
   const sessions = new Set<Session>();
   /** One session per home, even when both ends opened a link. */
-  const sessionsByHome = new Map<string, Session>();
+  const byHome = new Map<string, Session>();
   const unlinkedSince = new Map<string, number>();
 
   const send = (session: Session, message: PeerMessage) =>
@@ -95,17 +95,17 @@
   function remove(session: Session): void {
     sessions.delete(session);
     const home = session.name;
-    if (home === undefined || sessionsByHome.get(home) !== session) return;
-    sessionsByHome.delete(home);
+    if (home === undefined || byHome.get(home) !== session) return;
+    byHome.delete(home);
     for (const other of sessions) {
-      if (other.name === home) sessionsByHome.set(home, other);
+      if (other.name === home) byHome.set(home, other);
     }
-    if (!sessionsByHome.has(home)) unlinkedSince.set(home, timers.now());
+    if (!byHome.has(home)) unlinkedSince.set(home, timers.now());
   }
 
   function identify(session: Session, home: string): void {
     session.name = home;
-    sessionsByHome.set(home, session);
+    byHome.set(home, session);
     unlinkedSince.delete(home);
   }
 
@@ -115,7 +115,7 @@
       name,
       digest: store.root(),
       missing: [...unlinkedSince.keys()],
-      linked: session.missing.filter(home => sessionsByHome.has(home)),
+      linked: session.missing.filter(home => byHome.has(home)),
     });
   }
 
@@ -229,8 +229,7 @@
       sendRoot(session);
     },
     push(records) {
-      for (const session of sessionsByHome.values())
-        sendRecords(session, records);
+      for (const session of byHome.values()) sendRecords(session, records);
     },
     compare() {
       for (const session of sessions) sendRoot(session);
@@ -243,19 +242,19 @@
         remove(session);
       }
     },
-    linked: home => sessionsByHome.has(home),
+    linked: home => byHome.has(home),
     unreachableFor(home) {
       const since = unlinkedSince.get(home) ?? timers.now();
       unlinkedSince.set(home, since);
       return timers.now() - since;
     },
     report(home, report) {
-      const session = sessionsByHome.get(home);
+      const session = byHome.get(home);
       if (session !== undefined)
         send(session, {kind: 'unreachable', ...report});
     },
     contest(home, instance) {
-      const session = sessionsByHome.get(home);
+      const session = byHome.get(home);
       if (session !== undefined) send(session, {kind: 'contest', instance});
     },
   };
--- a/src/endpoints/subscriptions.ts
+++ b/src/endpoints/subscriptions.ts
@@ -136,13 +136,11 @@
     before: RecordEntry | undefined,
   ): void {
     const {instance, service} = entry.announcement;
-    const oldService = before?.announcement.service ?? service;
-    for (const subscriber of subscribersToAll) mark(subscriber, instance);
-    for (const subscriber of byService.get(service) ?? [])
-      mark(subscriber, instance);
-    if (oldService === service) return;
-    for (const subscriber of byService.get(oldService) ?? [])
-      mark(subscriber, instance);
+    const former = before?.announcement.service ?? service;
+    for (const target of subscribersToAll) mark(target, instance);
+    for (const target of byService.get(service) ?? []) mark(target, instance);
+    if (former === service) return;
+    for (const target of byService.get(former) ?? []) mark(target, instance);
   }
 
   store.onChange(markForSubscribers);
--- a/src/quarantine/plan.ts
+++ b/src/quarantine/plan.ts
@@ -43,10 +43,10 @@
 export type RemovalReason = 'answered' | 'expired' | 'no service' | 'no room';
 
 /** Number of crashes from which on all nodes watch a request. */
-const watchThreshold = 2;
+const watchCrashes = 2;
 
 /** Number of crashes from which on a request is held. */
-const holdThreshold = 3;
+const holdCrashes = 3;
 
 /**
  * Minimum time in milliseconds for which nodes watch a request before it is
@@ -104,8 +104,7 @@
 function planFirst({record, hasService, wall}: PlanInput): Plan {
   const suspect = record?.suspect;
   if (record === undefined || suspect === undefined) return keep;
-  if (!hasService || record.endedIncarnations.size < watchThreshold)
-    return keep;
+  if (!hasService || record.endedIncarnations.size < watchCrashes) return keep;
   return put({
     ...suspect,
     state: 'watched',
@@ -123,7 +122,7 @@
   const {age, wall} = input;
   const ended = allEndedIncarnations(quarantine, input);
   const wasWatchedLongEnough = !watch || age >= minWatch;
-  if (ended.length >= holdThreshold && wasWatchedLongEnough) {
+  if (ended.length >= holdCrashes && wasWatchedLongEnough) {
     return put({
       ...quarantine,
       state: 'held',
--- a/src/quarantine/quarantine-controller.test.ts
+++ b/src/quarantine/quarantine-controller.test.ts
@@ -133,7 +133,7 @@
 type Stage = Awaited<ReturnType<typeof start>>;
 
 /** Reports one crash at each node, each observed by that node only. */
-function reportCrashAtEachNode({nodes}: Stage, digest = name, life = 1): void {
+function crashAtEachNode({nodes}: Stage, digest = name, life = 1): void {
   for (const [index, node] of nodes.entries()) {
     node.crashed(`c-${index + 1}/${life}`, [suspectOf(digest)]);
   }
@@ -141,7 +141,7 @@
 
 test('crashes reported by three nodes at three homes are counted together, and every control process applies the quarantine in time', async t => {
   const stage = await start();
-  reportCrashAtEachNode(stage);
+  crashAtEachNode(stage);
   await stage.pass(500);
   t.is(stage.stateOf(), 'watched');
   await stage.pass(decisionTime - 500);
@@ -164,7 +164,7 @@
   for (const otherControl of ['control-1', 'control-2']) {
     stage.network.cut('control-3', otherControl);
   }
-  reportCrashAtEachNode(stage);
+  crashAtEachNode(stage);
   await stage.pass(500);
   t.is(stage.stateOf(), 'watched');
   await stage.nodes[2]!.attach('control-2');
@@ -185,7 +185,7 @@
 
 test('a node that restarts without evidence does not change a quarantine', async t => {
   const stage = await start();
-  reportCrashAtEachNode(stage);
+  crashAtEachNode(stage);
   await stage.pass(decisionTime);
   await stage.startNode('node-1', 'control-1');
   await stage.pass(decisionTime);
@@ -195,7 +195,7 @@
 for (const watch of [true, false]) {
   test(`a request answered 0.4 s after three simultaneous crashes, with minimum watch time: ${watch}`, async t => {
     const stage = await start(256, {watch});
-    reportCrashAtEachNode(stage);
+    crashAtEachNode(stage);
     await stage.pass(400);
     t.is(stage.stateOf(), watch ? 'watched' : 'held');
     stage.nodes[0]!.answered(name);
@@ -207,7 +207,7 @@
 test('a request that is answered between crashes is not held', async t => {
   const stage = await start();
   for (let round = 1; round <= 8; round++) {
-    reportCrashAtEachNode(stage, name, round);
+    crashAtEachNode(stage, name, round);
     await stage.pass(400);
     t.not(stage.stateOf(), 'held');
     if (stage.stateOf() === 'watched') stage.nodes[0]!.answered(name);
@@ -230,7 +230,7 @@
 
 test('an answer removes a quarantine after all control processes have restarted', async t => {
   const stage = await start();
-  reportCrashAtEachNode(stage);
+  crashAtEachNode(stage);
   await stage.pass(decisionTime);
   const again = await start();
   const {quarantines} = stage.group.machine('control-1').current();
@@ -260,7 +260,7 @@
 test('a held request is tried on one incarnation, and held again when that crashes', async t => {
   const stage = await start();
   stage.instances.push(serving('c-4', 7));
-  reportCrashAtEachNode(stage);
+  crashAtEachNode(stage);
   await stage.pass(decisionTime + 10_000);
   const quarantine = () =>
     stage.group.machine('control-1').current().quarantines.get(name);
@@ -275,19 +275,19 @@
 
 test('crashes before an operator removed the quarantine no longer count', async t => {
   const stage = await start();
-  reportCrashAtEachNode(stage);
+  crashAtEachNode(stage);
   await stage.pass(decisionTime);
   await stage.release(name);
   await stage.pass(decisionTime);
   t.is(stage.stateOf(), undefined);
-  reportCrashAtEachNode(stage, name, 2);
+  crashAtEachNode(stage, name, 2);
   await stage.pass(decisionTime);
   t.is(stage.stateOf(), 'held');
 });
 
 test('a held request is not removed to make room for a watched one', async t => {
   const stage = await start(1);
-  reportCrashAtEachNode(stage);
+  crashAtEachNode(stage);
   await stage.pass(decisionTime);
   t.is(stage.stateOf(), 'held');
   stage.nodes[0]!.crashed('c-1/2', [suspectOf(other)]);
@@ -323,7 +323,7 @@
 test('when held requests use the whole limit, another request waits and their trials continue', async t => {
   const stage = await start(1);
   stage.instances.push(serving('c-4', 7));
-  reportCrashAtEachNode(stage);
+  crashAtEachNode(stage);
   await stage.pass(decisionTime);
   stage.nodes[0]!.crashed('c-1/2', [suspectOf(other)]);
   stage.nodes[1]!.crashed('c-2/2', [suspectOf(other)]);
@@ -338,8 +338,7 @@
 
 test('a trial that crashes its instance ends, however many crashes came before', async t => {
   const stage = await start();
-  for (let life = 1; life <= 8; life++)
-    reportCrashAtEachNode(stage, name, life);
+  for (let life = 1; life <= 8; life++) crashAtEachNode(stage, name, life);
   stage.instances.push(serving('c-4', 7));
   await stage.pass(decisionTime + 3_000);
   stage.nodes[0]!.crashed('c-4/7', [suspectOf(name)]);
--- a/src/quarantine/quarantine-controller.ts
+++ b/src/quarantine/quarantine-controller.ts
@@ -18,7 +18,7 @@
 import {planQuarantine} from './plan.js';
 import type {Plan, QuarantineSafeguards} from './plan.js';
 
-/** Options of `createQuarantineWarden`. */
+/** Options of `createQuarantineController`. */
 export interface QuarantineControllerOptions {
   /** The control process's name. */
   readonly name: string;
--- a/src/quarantine/suspect-table.ts
+++ b/src/quarantine/suspect-table.ts
@@ -123,12 +123,7 @@
 }
 
 /** Adds at the end; removes the oldest element when there are more than `max`. */
-function addLast(
-  incarnations: Set<string>,
-  incarnation: string,
-  max: number,
-): void {
-  incarnations.add(incarnation);
-  if (incarnations.size > max)
-    incarnations.delete(incarnations.values().next().value!);
+function addLast(set: Set<string>, value: string, max: number): void {
+  set.add(value);
+  if (set.size > max) set.delete(set.values().next().value!);
 }
