--- a/src/endpoints/record-store.ts
+++ b/src/endpoints/record-store.ts
@@ -1,7 +1,7 @@
 import murmurhash from 'murmurhash';
 import type {Timers} from '../time/timers.js';
 import {digestText, emptyDigest, toggle} from './digest.js';
-import {digestKnown} from './known-digest.js';
+import {digestInstance} from './instance-digest.js';
 import type {Digest} from './digest.js';
 import type {
   Announcement,
@@ -9,103 +9,114 @@
   KnownInstance,
   RecordSummary,
 } from './messages.js';
-import {isNewer} from './order.js';
+import {isNewer} from './announcement-order.js';
 import type {Safeguards} from './safeguards.js';
 
 /** One instance in a home's table. */
-export interface Entry {
+export interface RecordEntry {
   readonly announcement: Announcement;
   readonly home: string;
   readonly homeRegion: string;
   readonly expired: boolean;
-  /** When it became gone, on this home's clock; undefined while it lives. */
+  /** When it became gone, by this home's clock; undefined while it is live. */
   readonly goneAt: number | undefined;
-  /** This home's own doubt; not shared with other homes. */
+  /** Whether this home suspects the instance; not replicated to other homes. */
   suspect: boolean;
-  /** Whether the tables' digests count it; old tombstones are left out. */
-  counted: boolean;
+  /** Whether the table digests include it; old tombstones are excluded. */
+  inDigests: boolean;
 }
 
-/** A change of one instance's entry; `before` is undefined for a new one. */
-export type Observer = (entry: Entry, before: Entry | undefined) => void;
+/** Called on a change of one entry; `before` is undefined for a new one. */
+export type RecordObserver = (
+  entry: RecordEntry,
+  before: RecordEntry | undefined,
+) => void;
 
-/** The table that every home has a copy of. */
+/** A home's copy of the replicated table of instances. */
 export interface RecordStore {
-  get(instance: string): Entry | undefined;
-  entries(): IterableIterator<Entry>;
-  ofService(service: string): Iterable<Entry>;
+  get(instance: string): RecordEntry | undefined;
+  entries(): IterableIterator<RecordEntry>;
+  ofService(service: string): Iterable<RecordEntry>;
   services(): IterableIterator<string>;
-  /** Live entries at one gate's address. */
-  atGate(gate: string): readonly Entry[];
-  /** Keeps a record if it is newer than what is held. */
+  /** Live entries with this gate address. */
+  liveAtGate(gate: string): readonly RecordEntry[];
+  /** Stores a record if it is newer than the present one; false if it is not. */
   merge(record: EndpointRecord): boolean;
   setSuspect(instance: string, suspect: boolean): void;
-  /** Forgets tombstones whose time is over. */
+  /** Removes tombstones whose retention time is over. */
   sweep(): void;
-  record(entry: Entry): EndpointRecord;
+  /** The record of an entry as it is sent to other homes. */
+  record(entry: RecordEntry): EndpointRecord;
+  /** The digest of the whole table. */
   root(): Digest;
+  /** The digests of all buckets, alternating low and high parts. */
   bucketDigests(): number[];
+  /** The record versions in some buckets. */
   summaries(buckets: readonly number[]): RecordSummary[];
   bucketOf(service: string): number;
-  /** The digest of a service's live instances as nodes see them. */
+  /** The digest of a service's live instances in the nodes' view. */
   serviceDigest(service: string): Digest;
-  /** The digest of all services as nodes see them. */
+  /** The digest of all services in the nodes' view. */
   viewDigest(): Digest;
-  onChange(observe: Observer): void;
+  onChange(observe: RecordObserver): void;
   size(): number;
   /** Live instances, suspects included. */
-  live(): number;
+  liveCount(): number;
 }
 
-/** Settings of a home's table. */
+/** Options of `createRecordStore`. */
 export interface RecordStoreOptions {
   readonly timers: Timers;
   /** Milliseconds for which a tombstone is kept. */
   readonly tombstoneRetention: number;
-  /** Most instances kept, tombstones included. */
+  /** Maximum number of instances, including tombstones. */
   readonly limit: number;
   readonly safeguards: Safeguards;
 }
 
-/** Services are spread over so many buckets, which are compared one by one. */
+/** Services are hashed into this many buckets, whose digests homes compare. */
 const bucketCount = 256;
 
 interface ServiceGroup {
-  readonly entries: Map<string, Entry>;
+  readonly entries: Map<string, RecordEntry>;
   digest: Digest;
 }
 
 /** Creates an empty table. */
 export function createRecordStore(options: RecordStoreOptions): RecordStore {
   const {timers, tombstoneRetention, limit} = options;
-  // A tombstone leaves the digests at half its time, so that homes which drop
-  // it some seconds apart do not hand it back to each other for ever.
-  const countedFor = tombstoneRetention / 2;
-  const entries = new Map<string, Entry>();
+  // A tombstone is excluded from the digests after half its retention time.
+  // Otherwise homes that remove it some seconds apart would send it back to each
+  // other forever.
+  const inDigestsFor = tombstoneRetention / 2;
+  const entries = new Map<string, RecordEntry>();
   const groups = new Map<string, ServiceGroup>();
-  const gates = new Map<string, Set<string>>();
-  const members = Array.from({length: bucketCount}, () => new Set<string>());
-  const buckets: Digest[] = members.map(() => emptyDigest);
-  const observers: Observer[] = [];
+  const instancesByGate = new Map<string, Set<string>>();
+  const instancesByBucket = Array.from(
+    {length: bucketCount},
+    () => new Set<string>(),
+  );
+  const buckets: Digest[] = instancesByBucket.map(() => emptyDigest);
+  const observers: RecordObserver[] = [];
   let root = emptyDigest;
-  let view = emptyDigest;
-  let live = 0;
+  let viewDigest = emptyDigest;
+  let liveCount = 0;
 
-  function toggleCounted(entry: Entry): void {
+  function toggleInDigests(entry: RecordEntry): void {
     const digest = digestEntry(entry);
     const bucket = bucketOf(entry.announcement.service);
     buckets[bucket] = toggle(buckets[bucket]!, digest);
     root = toggle(root, digest);
   }
 
-  function toggleView(entry: Entry): void {
+  function toggleInView(entry: RecordEntry): void {
     const group = groups.get(entry.announcement.service)!;
-    const digest = digestKnown(toKnown(entry));
+    const digest = digestInstance(toKnownInstance(entry));
     group.digest = toggle(group.digest, digest);
-    view = toggle(view, digest);
+    viewDigest = toggle(viewDigest, digest);
   }
 
-  function add(entry: Entry): void {
+  function add(entry: RecordEntry): void {
     const {instance, service, gate} = entry.announcement;
     entries.set(instance, entry);
     let group = groups.get(service);
@@ -114,38 +125,38 @@
       groups.set(service, group);
     }
     group.entries.set(instance, entry);
-    members[bucketOf(service)]!.add(instance);
-    if (entry.goneAt === undefined) addGate(gate, instance);
-    if (entry.counted) toggleCounted(entry);
-    toggleView(entry);
+    instancesByBucket[bucketOf(service)]!.add(instance);
+    if (entry.goneAt === undefined) addLive(gate, instance);
+    if (entry.inDigests) toggleInDigests(entry);
+    toggleInView(entry);
   }
 
-  function remove(entry: Entry): void {
+  function remove(entry: RecordEntry): void {
     const {instance, service, gate} = entry.announcement;
-    toggleView(entry);
-    if (entry.counted) toggleCounted(entry);
-    if (entry.goneAt === undefined) removeGate(gate, instance);
+    toggleInView(entry);
+    if (entry.inDigests) toggleInDigests(entry);
+    if (entry.goneAt === undefined) removeLive(gate, instance);
     entries.delete(instance);
-    members[bucketOf(service)]!.delete(instance);
+    instancesByBucket[bucketOf(service)]!.delete(instance);
     const group = groups.get(service)!;
     group.entries.delete(instance);
     if (group.entries.size === 0) groups.delete(service);
   }
 
-  function addGate(gate: string, instance: string): void {
-    live++;
-    const set = gates.get(gate) ?? new Set();
-    gates.set(gate, set.add(instance));
+  function addLive(gate: string, instance: string): void {
+    liveCount++;
+    const set = instancesByGate.get(gate) ?? new Set();
+    instancesByGate.set(gate, set.add(instance));
   }
 
-  function removeGate(gate: string, instance: string): void {
-    live--;
-    const set = gates.get(gate)!;
+  function removeLive(gate: string, instance: string): void {
+    liveCount--;
+    const set = instancesByGate.get(gate)!;
     set.delete(instance);
-    if (set.size === 0) gates.delete(gate);
+    if (set.size === 0) instancesByGate.delete(gate);
   }
 
-  function makeEntry(record: EndpointRecord): Entry {
+  function createEntry(record: EndpointRecord): RecordEntry {
     const gone = record.announcement.state === 'gone';
     return {
       announcement: record.announcement,
@@ -154,7 +165,7 @@
       expired: record.expired,
       goneAt: gone ? timers.now() - record.goneFor : undefined,
       suspect: false,
-      counted: !gone || record.goneFor < countedFor,
+      inDigests: !gone || record.goneFor < inDigestsFor,
     };
   }
 
@@ -163,7 +174,7 @@
     const before = entries.get(announcement.instance);
     if (before && isStale(announcement, before.announcement)) return false;
     if (before === undefined && entries.size >= limit) return false;
-    const entry = makeEntry(record);
+    const entry = createEntry(record);
     if (before !== undefined) remove(before);
     add(entry);
     for (const observe of observers) observe(entry, before);
@@ -171,11 +182,12 @@
   }
 
   /**
-   * Records cross on their way through several homes. Were the last to come
-   * kept, an instance that is gone would come back and take requests.
+   * Whether an announcement is not newer than the stored one. Records arrive out
+   * of order through several homes; if the last one won, an instance that is gone
+   * would reappear and be sent requests.
    */
-  function isStale(next: Announcement, held: Announcement): boolean {
-    return options.safeguards.order && !isNewer(next, held);
+  function isStale(next: Announcement, existing: Announcement): boolean {
+    return options.safeguards.order && !isNewer(next, existing);
   }
 
   function sweep(): void {
@@ -183,9 +195,9 @@
     for (const entry of entries.values()) {
       if (entry.goneAt === undefined) continue;
       const age = now - entry.goneAt;
-      if (entry.counted && age >= countedFor) {
-        toggleCounted(entry);
-        entry.counted = false;
+      if (entry.inDigests && age >= inDigestsFor) {
+        toggleInDigests(entry);
+        entry.inDigests = false;
       }
       if (age >= tombstoneRetention) remove(entry);
     }
@@ -194,9 +206,9 @@
   function setSuspect(instance: string, suspect: boolean): void {
     const entry = entries.get(instance);
     if (entry === undefined || entry.suspect === suspect) return;
-    toggleView(entry);
+    toggleInView(entry);
     entry.suspect = suspect;
-    toggleView(entry);
+    toggleInView(entry);
     for (const observe of observers) observe(entry, entry);
   }
 
@@ -205,8 +217,10 @@
     entries: () => entries.values(),
     ofService: service => groups.get(service)?.entries.values() ?? [],
     services: () => groups.keys(),
-    atGate: gate =>
-      [...(gates.get(gate) ?? [])].map(instance => entries.get(instance)!),
+    liveAtGate: gate =>
+      [...(instancesByGate.get(gate) ?? [])].map(instance =>
+        entries.get(instance)!,
+      ),
     merge,
     setSuspect,
     sweep,
@@ -221,22 +235,22 @@
     bucketDigests: () => buckets.flatMap(({low, high}) => [low, high]),
     summaries: wanted =>
       wanted.flatMap(bucket =>
-        [...members[bucket]!]
+        [...instancesByBucket[bucket]!]
           .map(instance => entries.get(instance)!)
-          .filter(entry => entry.counted)
+          .filter(entry => entry.inDigests)
           .map(summarize),
       ),
     bucketOf,
     serviceDigest: service => groups.get(service)?.digest ?? emptyDigest,
-    viewDigest: () => view,
+    viewDigest: () => viewDigest,
     onChange: observe => void observers.push(observe),
     size: () => entries.size,
-    live: () => live,
+    liveCount: () => liveCount,
   };
 }
 
-/** What nodes are told of an entry. */
-export function toKnown(entry: Entry): KnownInstance {
+/** The form of an entry that is sent to nodes. */
+export function toKnownInstance(entry: RecordEntry): KnownInstance {
   if (!entry.suspect) return entry.announcement;
   return {...entry.announcement, suspect: true};
 }
@@ -245,13 +259,15 @@
   return murmurhash.v3(service) % bucketCount;
 }
 
-function digestEntry(entry: Entry): Digest {
+function digestEntry(entry: RecordEntry): Digest {
   const {instance, incarnation, sequence, gate} = entry.announcement;
-  const mark = entry.goneAt === undefined ? '' : 'g';
-  return digestText(`${instance} ${incarnation} ${sequence} ${gate}${mark}`);
+  const goneSuffix = entry.goneAt === undefined ? '' : 'g';
+  return digestText(
+    `${instance} ${incarnation} ${sequence} ${gate}${goneSuffix}`,
+  );
 }
 
-function summarize(entry: Entry): RecordSummary {
+function summarize(entry: RecordEntry): RecordSummary {
   const {instance, incarnation, sequence} = entry.announcement;
   const gone = entry.goneAt !== undefined;
   return {instance, incarnation, sequence, gone};
