--- a/bench/distribution/home-process.ts
+++ b/bench/distribution/home-process.ts
@@ -9,8 +9,8 @@
 import {emptyConfiguration} from '../../src/configuration/configuration.js';
 import {createDistributor} from '../../src/distribution/distributor.js';
 import type {DistributorOptions} from '../../src/distribution/distributor.js';
-import {createFreshness} from '../../src/distribution/freshness.js';
-import {createHome} from '../../src/distribution/home.js';
+import {createFreshnessTracker} from '../../src/distribution/freshness-tracker.js';
+import {createHomeConnection} from '../../src/distribution/home-connection.js';
 import {createSectionSource} from '../../src/distribution/section-source.js';
 import {createSubscriber} from '../../src/distribution/subscriber.js';
 import {createFleet} from '../../src/fleet/fleet.js';
@@ -122,12 +122,12 @@
     current: () => configuration,
     onChange: observe => void observers.push(observe),
   });
-  const freshness = createFreshness(barrier, timers);
+  const freshness = createFreshnessTracker(barrier, timers);
   return {source, barrier, asOf: freshness.asOf};
 }
 
 function createRelay() {
-  const home = createHome({
+  const home = createHomeConnection({
     network,
     homes: setup.sources,
     self,
--- a/bench/distribution/node-process.ts
+++ b/bench/distribution/node-process.ts
@@ -1,6 +1,6 @@
 import type {Configuration} from '../../src/configuration/configuration.js';
-import {createHome} from '../../src/distribution/home.js';
-import type {Home} from '../../src/distribution/home.js';
+import {createHomeConnection} from '../../src/distribution/home-connection.js';
+import type {HomeConnection} from '../../src/distribution/home-connection.js';
 import {createSubscriber} from '../../src/distribution/subscriber.js';
 import type {Subscriber} from '../../src/distribution/subscriber.js';
 import {Network} from '../../src/link/link.js';
@@ -24,7 +24,7 @@
 /** A process of many stand-in nodes, each with its own link and subscriber. */
 
 interface StandIn {
-  readonly home: Home;
+  readonly home: HomeConnection;
   readonly subscriber: Subscriber;
 }
 
@@ -68,7 +68,7 @@
 }
 
 function createStandIn(node: number): StandIn {
-  const home = createHome({
+  const home = createHomeConnection({
     network: counted.network,
     homes: setup.homes,
     self: {
--- a/scenarios/control-vm.ts
+++ b/scenarios/control-vm.ts
@@ -11,7 +11,7 @@
 } from '../src/consensus/fakes/freezable.js';
 import {createFakeDisk} from '../src/disk/fakes/fake-disk.js';
 import type {FakeDisk} from '../src/disk/fakes/fake-disk.js';
-import {createFreshness} from '../src/distribution/freshness.js';
+import {createFreshnessTracker} from '../src/distribution/freshness-tracker.js';
 import {createSectionSource} from '../src/distribution/section-source.js';
 import type {FakeNetwork} from '../src/link/fakes/fake-network.js';
 import {createSilentLog} from '../src/log/log.js';
@@ -109,7 +109,7 @@
       fellows: () => members.map(each => distributionAddress(each.name)),
       source: createSectionSource(machine),
       barrier,
-      asOf: createFreshness(barrier, own).asOf,
+      asOf: createFreshnessTracker(barrier, own).asOf,
       batchWindow: 50,
       lease: 10_000,
       safeguards: {proof: safeguards.proof},
--- a/scenarios/stage.ts
+++ b/scenarios/stage.ts
@@ -1,8 +1,8 @@
 /** The stage of a scenario: three control VMs, nodes and operators. */
 import {decodeAnswer} from '../src/configuration/entry.js';
 import type {Answer, Command, Edit} from '../src/configuration/messages.js';
-import {createHome} from '../src/distribution/home.js';
-import type {Home} from '../src/distribution/home.js';
+import {createHomeConnection} from '../src/distribution/home-connection.js';
+import type {HomeConnection} from '../src/distribution/home-connection.js';
 import {createSubscriber} from '../src/distribution/subscriber.js';
 import type {Subscriber} from '../src/distribution/subscriber.js';
 import {createFakeNetwork} from '../src/link/fakes/fake-network.js';
@@ -17,7 +17,7 @@
 /** One node through its lives; it has no disk. */
 export interface Node {
   readonly name: string;
-  home: Home;
+  home: HomeConnection;
   subscriber: Subscriber;
   /** Versions in the order in which they came into force, over all lives. */
   readonly versions: number[];
@@ -151,7 +151,7 @@
 
   function startNode(name: string, homes: readonly string[]): void {
     const shared = () => ({timers, log, random: createRandom(seed++)});
-    const home = createHome({
+    const home = createHomeConnection({
       ...shared(),
       network: network.from(name),
       homes: homes.map(each => controls.get(each)!.address),
--- a/src/distribution/admission.test.ts
+++ b/src/distribution/admission.test.ts
@@ -2,8 +2,8 @@
 import {createRandom} from '../random/random.js';
 import {createFakeTimers} from '../time/fakes/fake-timers.js';
 import {createAdmission} from './admission.js';
-import type {Sync} from './admission.js';
-import {createOperator, createStage} from './fakes/stage.js';
+import type {SyncRequest} from './admission.js';
+import {createOperator, createTestCluster} from './fakes/test-cluster.js';
 
 function setUp(rate: number) {
   const timers = createFakeTimers();
@@ -12,14 +12,14 @@
     random: createRandom(1),
     rate,
     overhead: 0,
-    horizon: 1,
-    tick: 10,
+    maxQueueSeconds: 1,
+    period: 10,
   });
   const admitted: string[] = [];
   const postponed: number[] = [];
   const offer = (name: string, need: number, cost: number) => {
-    const sync: Sync = {
-      need,
+    const sync: SyncRequest = {
+      versionsBehind: need,
       cost,
       admit: () => admitted.push(name),
       postpone: after => postponed.push(after),
@@ -73,7 +73,7 @@
   let last = 0;
   const offer = () => {
     const ticket = admission.offer({
-      need: 1,
+      versionsBehind: 1,
       cost: 20,
       admit: () => (last = timers.now()),
       postpone(after) {
@@ -106,7 +106,7 @@
 // back. A node that was in step all along waits for its push behind whatever
 // state the home has put on the wire before it, so that must be bounded.
 async function returnHerd(admission: boolean) {
-  const stage = createStage();
+  const stage = createTestCluster();
   const operator = createOperator();
   const names = Array.from({length: 50}, (_, index) => `service-${index}`);
   operator.accept({put: names});
--- a/src/distribution/admission.ts
+++ b/src/distribution/admission.ts
@@ -2,9 +2,9 @@
 import type {Subscription, Timers} from '../time/timers.js';
 
 /** One wish to be brought up to date. */
-export interface Sync {
+export interface SyncRequest {
   /** How far behind it is: Infinity when it serves nothing. */
-  readonly need: number;
+  readonly versionsBehind: number;
   /** Bytes that it will take. */
   readonly cost: number;
   /** Called once when it is admitted. */
@@ -21,7 +21,7 @@
 
 /** Admits syncs at a bounded rate. */
 export interface Admission {
-  offer(sync: Sync): Ticket;
+  offer(sync: SyncRequest): Ticket;
   /** Syncs that wait now. */
   waiting(): number;
   stop(): void;
@@ -36,9 +36,9 @@
   /** Added to each sync's cost. */
   readonly overhead: number;
   /** Seconds' worth of cost that may wait. */
-  readonly horizon: number;
+  readonly maxQueueSeconds: number;
   /** Milliseconds between admissions while syncs wait. */
-  readonly tick: number;
+  readonly period: number;
 }
 
 /**
@@ -51,10 +51,10 @@
  * over up to twice the time that its states needed.
  */
 export function createAdmission(options: AdmissionOptions): Admission {
-  const {timers, random, rate, overhead, horizon, tick} = options;
+  const {timers, random, rate, overhead, maxQueueSeconds: horizon, period: tick} = options;
   const capacity = rate * horizon;
   const burst = Math.max((rate * tick) / 1000, overhead);
-  const costOf = (sync: Sync) => sync.cost + overhead;
+  const costOf = (sync: SyncRequest) => sync.cost + overhead;
   const queue = createOrder(costOf);
   const away = createOrder(costOf);
   let tokens = burst;
@@ -112,17 +112,17 @@
 
 /** Syncs in the order in which they are to be admitted. */
 interface Order {
-  add(sync: Sync): void;
-  remove(sync: Sync): void;
-  first(): Sync | undefined;
-  last(): Sync | undefined;
+  add(sync: SyncRequest): void;
+  remove(sync: SyncRequest): void;
+  first(): SyncRequest | undefined;
+  last(): SyncRequest | undefined;
   size(): number;
   /** The sum of all costs. */
   cost(): number;
 }
 
-function createOrder(costOf: (sync: Sync) => number): Order {
-  const syncs: Sync[] = [];
+function createOrder(costOf: (sync: SyncRequest) => number): Order {
+  const syncs: SyncRequest[] = [];
   let cost = 0;
   return {
     add(sync) {
@@ -144,7 +144,7 @@
   };
 }
 
-function goesFirst(left: Sync, right: Sync): boolean {
-  if (left.need !== right.need) return left.need > right.need;
+function goesFirst(left: SyncRequest, right: SyncRequest): boolean {
+  if (left.versionsBehind !== right.versionsBehind) return left.versionsBehind > right.versionsBehind;
   return left.cost < right.cost;
 }
--- a/src/distribution/candidate.ts
+++ b/src/distribution/candidate-state.ts
@@ -23,7 +23,7 @@
 }
 
 /** Test only: checks that keep a bad state out. */
-export interface CandidateSafeguards {
+export interface CandidateStateSafeguards {
   readonly digest: boolean;
   readonly references: boolean;
 }
@@ -33,17 +33,17 @@
  * was lost, cut or made for another base shows as another digest than the
  * push's: the candidate is then dropped whole, so nothing of it was ever seen.
  */
-export function buildCandidate(
+export function buildCandidateState(
   held: HeldState | undefined,
   push: Push,
   services: Interest,
-  safeguards: CandidateSafeguards = {digest: true, references: true},
+  safeguards: CandidateStateSafeguards = {digest: true, references: true},
 ): Result<HeldState> {
   const {subscription, version} = push;
   if (push.digest === undefined) {
     return raiseVersion(held, push, safeguards.digest);
   }
-  const sections = push.whole ? new Map() : keepCovered(held, services);
+  const sections = push.whole ? new Map() : selectCovered(held, services);
   for (const name of push.removed ?? []) sections.delete(name);
   for (const packed of push.sections ?? []) {
     const section = unpackSection(packed);
@@ -81,7 +81,7 @@
 }
 
 /** The held sections that an interest covers. */
-export function keepCovered(
+export function selectCovered(
   held: HeldState | undefined,
   services: Interest,
 ): Map<string, HeldSection> {
--- a/src/distribution/confirmation-watch.test.ts
+++ b/src/distribution/confirmation-watch.test.ts
@@ -1,10 +1,10 @@
 import test from 'ava';
 import {createRecordedLog} from '../log/fakes/recorded-log.js';
 import {watchConfirmation} from './confirmation-watch.js';
-import {createOperator, createStage} from './fakes/stage.js';
+import {createOperator, createTestCluster} from './fakes/test-cluster.js';
 
 async function watchNode() {
-  const stage = createStage();
+  const stage = createTestCluster();
   const operator = createOperator();
   operator.accept({put: ['crewbook']});
   const control = await stage.control('control-1', operator);
--- a/src/distribution/confirmation-watch.ts
+++ b/src/distribution/confirmation-watch.ts
@@ -7,12 +7,12 @@
 import type {Log} from '../log/log.js';
 import type {Metrics} from '../metrics/metrics.js';
 import type {Subscription, Timers} from '../time/timers.js';
-import type {Home} from './home.js';
+import type {HomeConnection} from './home-connection.js';
 import type {Subscriber} from './subscriber.js';
 
 /** What the watch works with; times in milliseconds. */
 export interface ConfirmationWatchOptions {
-  readonly home: Pick<Home, 'asOf' | 'state' | 'address' | 'mark'>;
+  readonly home: Pick<HomeConnection, 'asOf' | 'state' | 'address' | 'mark'>;
   readonly subscriber: Pick<Subscriber, 'current' | 'state'>;
   readonly metrics: Pick<Metrics, 'unconfirmed'>;
   readonly timers: Timers;
--- a/src/distribution/distribution.test.ts
+++ b/src/distribution/distribution.test.ts
@@ -1,8 +1,8 @@
 import test from 'ava';
-import {createOperator, createStage} from './fakes/stage.js';
+import {createOperator, createTestCluster} from './fakes/test-cluster.js';
 
 test('an accepted change comes into force at each node', async t => {
-  const stage = createStage();
+  const stage = createTestCluster();
   const operator = createOperator();
   operator.accept({put: ['stock-desk']});
   const control = await stage.control('control-1', operator);
@@ -21,7 +21,7 @@
 });
 
 test('a change reaches a node through a relay and its proof too', async t => {
-  const stage = createStage();
+  const stage = createTestCluster();
   const operator = createOperator();
   operator.accept({put: ['stock-desk']});
   const control = await stage.control('control-1', operator);
--- a/src/distribution/distributor.test.ts
+++ b/src/distribution/distributor.test.ts
@@ -6,7 +6,7 @@
 import {success} from '../result/failure.js';
 import {createFakeTimers} from '../time/fakes/fake-timers.js';
 import {createDistributor} from './distributor.js';
-import {createOperator} from './fakes/stage.js';
+import {createOperator} from './fakes/test-cluster.js';
 import type {Push, Request, Response} from './messages.js';
 import {createSectionSource} from './section-source.js';
 
--- a/src/distribution/distributor.ts
+++ b/src/distribution/distributor.ts
@@ -1,4 +1,4 @@
-import type {Position} from '../fleet/messages.js';
+import type {HomePosition} from '../fleet/messages.js';
 import type {Channels} from '../link/channel.js';
 import type {Log} from '../log/log.js';
 import type {Random} from '../random/random.js';
@@ -13,7 +13,7 @@
 import {answerProofs, createSession, respond} from './session.js';
 import type {Session} from './session.js';
 import {createStateView} from './state-view.js';
-import {interestKey, intersect, makePush} from './sync-plan.js';
+import {interestKey, selectCoveredNames, makePush} from './sync-plan.js';
 import {createSyncer} from './syncer.js';
 import type {SyncCounts} from './syncer.js';
 
@@ -58,7 +58,7 @@
   /** Serves the configuration plane of one link. */
   accept(channels: Channels): void;
   /** What was sent to all in step, and until when that was the newest. */
-  position(): Position;
+  position(): HomePosition;
   counts(): DistributorCounts;
   stop(): void;
 }
@@ -132,7 +132,7 @@
     const changed = view.changedSince(session.sent!);
     if (changed === undefined) return undefined;
     const subscription = session.subscription!;
-    const names = intersect(changed, session.services);
+    const names = selectCoveredNames(changed, session.services);
     if (names.length === 0) {
       const {version} = state;
       return {kind: 'push', subscription, version, base: session.sent};
@@ -160,9 +160,9 @@
     session.services = services;
     session.key = interestKey(services);
     session.position = {services, version, digest, complete};
-    session.compared = undefined;
+    session.comparison = undefined;
     session.sent = undefined;
-    session.proved = [];
+    session.provedNonces = [];
     syncer.drop(session);
     if (request.nonce === undefined) syncer.offer(session);
     else prove(session, request.nonce, () => syncer.offer(session));
@@ -170,7 +170,7 @@
 
   function compare(session: Session, request: Compare): void {
     if (request.subscription !== session.subscription) return;
-    session.compared = request;
+    session.comparison = request;
     session.sent = undefined;
     const {version} = request;
     session.position = {...session.position, version, digest: undefined};
@@ -186,7 +186,7 @@
         respond(session, {kind: 'unproved', nonce});
         return;
       }
-      session.proved.push(nonce);
+      session.provedNonces.push(nonce);
       proved();
     });
   }
--- a/src/distribution/fakes/stage.ts
+++ b/src/distribution/fakes/test-cluster.ts
@@ -20,10 +20,10 @@
 import type {FakeTimers} from '../../time/fakes/fake-timers.js';
 import {createDistributor} from '../distributor.js';
 import type {Distributor, DistributorOptions} from '../distributor.js';
-import {createFreshness} from '../freshness.js';
-import {createHome} from '../home.js';
-import type {Home} from '../home.js';
-import type {HomeOptions} from '../home-options.js';
+import {createFreshnessTracker} from '../freshness-tracker.js';
+import {createHomeConnection} from '../home-connection.js';
+import type {HomeConnection} from '../home-connection.js';
+import type {HomeConnectionOptions} from '../home-connection-options.js';
 import type {HomeAddress} from '../../fleet/messages.js';
 import {createSectionSource} from '../section-source.js';
 import type {SectionSource} from '../section-source.js';
@@ -50,7 +50,7 @@
 }
 
 /** A home in a test. */
-export interface StagedHome {
+export interface TestHome {
   readonly name: string;
   readonly address: Address;
   readonly distributor: Distributor;
@@ -60,15 +60,15 @@
 }
 
 /** A node in a test. */
-export interface StagedNode {
-  readonly home: Home;
+export interface TestNode {
+  readonly home: HomeConnection;
   readonly subscriber: Subscriber;
   /** Versions in the order in which they came into force. */
   readonly versions: number[];
 }
 
 /** Processes on a fake network with fake time. */
-export interface Stage {
+export interface TestCluster {
   readonly timers: FakeTimers;
   readonly network: FakeNetwork;
   control(
@@ -77,18 +77,18 @@
     options?: Partial<DistributorOptions>,
     fellows?: number,
     homes?: () => readonly HomeAddress[],
-  ): Promise<StagedHome>;
+  ): Promise<TestHome>;
   relay(
     name: string,
     sources: readonly Address[],
     options?: Partial<DistributorOptions>,
-  ): Promise<StagedHome & StagedNode>;
+  ): Promise<TestHome & TestNode>;
   node(
     name: string,
     homes: ReadonlyArray<Address | HomeAddress>,
     options?: Partial<SubscriberOptions>,
-    homeOptions?: Partial<HomeOptions>,
-  ): StagedNode;
+    homeOptions?: Partial<HomeConnectionOptions>,
+  ): TestNode;
 }
 
 /** Creates an operator over an empty configuration. */
@@ -144,7 +144,7 @@
 }
 
 /** Creates an empty stage; a message takes 1 ms one way. */
-export function createStage(seed = 1): Stage {
+export function createTestCluster(seed = 1): TestCluster {
   const timers = createFakeTimers();
   const network = createFakeNetwork(timers);
   const log = createSilentLog();
@@ -179,7 +179,7 @@
     const {position} = distributor;
     const fleet = createFleet({
       ...{self, timers, log, position},
-      fellows: () => fellows,
+      peerCount: () => fellows,
       homes,
     });
     fleet.onHello((_hello, channels) => distributor.accept(channels));
@@ -194,9 +194,9 @@
     self: Hello,
     homes: ReadonlyArray<Address | HomeAddress>,
     options: Partial<SubscriberOptions>,
-    homeOptions: Partial<HomeOptions>,
-  ): StagedNode {
-    const home = createHome({
+    homeOptions: Partial<HomeConnectionOptions>,
+  ): TestNode {
+    const home = createHomeConnection({
       network: network.from(self.name),
       homes,
       self,
@@ -218,7 +218,7 @@
         staged.quorum
           ? success(operator.current().version)
           : failure(commonCodes.unreachable, 'no quorum');
-      const freshness = createFreshness(barrier, timers);
+      const freshness = createFreshnessTracker(barrier, timers);
       const source = createSectionSource(operator);
       const self = helloOf('control', name);
       const made = await serve(
--- a/src/distribution/mark.ts
+++ b/src/distribution/freshness-mark.ts
@@ -2,7 +2,7 @@
 import type {Pong} from '../fleet/messages.js';
 
 /** What a home last told of its state. */
-export interface Mark {
+export interface FreshnessMark {
   /** Local time at which the home's state was still confirmed by a quorum. */
   readonly asOf: number | undefined;
   /** The version that the home last sent to all. */
@@ -15,7 +15,7 @@
  * The mark that an answer tells. Its age counts from the ping, so that an
  * answer that was held back never looks fresher than it is.
  */
-export function markOf({age, version}: Pong, sentAt: number): Mark {
+export function freshnessMarkOf({age, version}: Pong, sentAt: number): FreshnessMark {
   const asOf = age === undefined ? undefined : sentAt - age;
   return {asOf, version, askedAt: sentAt};
 }
--- a/src/distribution/home-marks.test.ts
+++ b/src/distribution/freshness-marks.test.ts
@@ -1,15 +1,15 @@
 import test from 'ava';
 import {createFakeTimers} from '../time/fakes/fake-timers.js';
-import {createHomeMarks} from './home-marks.js';
+import {createFreshnessMarks} from './freshness-marks.js';
 
 const heartbeat = 400;
 const doubtAge = 800;
 
 function createMarks() {
   const clock = createFakeTimers(10_000);
-  const marks = createHomeMarks({clock, heartbeat, doubtAge});
+  const marks = createFreshnessMarks({clock, heartbeat, overdueAge: doubtAge});
   marks.acknowledge(1);
-  marks.begin({asOf: clock.now(), version: 1, askedAt: clock.now()});
+  marks.reset({asOf: clock.now(), version: 1, askedAt: clock.now()});
   /** The mark of another home that was asked just now. */
   const other = () => ({
     asOf: clock.now(),
--- a/src/distribution/home-marks.ts
+++ b/src/distribution/freshness-marks.ts
@@ -1,34 +1,34 @@
 /** How fresh a home's state and the own one are, learnt from pings. */
 import type {Ping, Pong} from '../fleet/messages.js';
 import type {Clock} from '../time/clock.js';
-import {markOf} from './mark.js';
-import type {Mark} from './mark.js';
+import {freshnessMarkOf} from './freshness-mark.js';
+import type {FreshnessMark} from './freshness-mark.js';
 
 /** The marks of the home that is attached. */
-export interface HomeMarks {
+export interface FreshnessMarks {
   /** Forgets what the home before told of itself, for the first mark of another. */
-  begin(first: Mark): void;
+  reset(first: FreshnessMark): void;
   /** The next ping. */
   ping(): Ping;
   /** The mark in the answer to a ping; undefined where none is due. */
-  receive(pong: Pong): Mark | undefined;
+  receive(pong: Pong): FreshnessMark | undefined;
   /** Takes a mark for the own state's too, where that is not behind it. */
-  confirm(mark: Mark): void;
+  confirm(mark: FreshnessMark): void;
   /** `version` is in force here. */
   acknowledge(version: number): void;
   /** The last mark of this home; undefined before the first. */
-  last(): Mark | undefined;
+  last(): FreshnessMark | undefined;
   /** Local time at which the own state was confirmed; undefined before. */
-  ownAsOf(): number | undefined;
+  localAsOf(): number | undefined;
   /**
    * Whether a home said that its state was confirmed of late. Its own word
    * counts, as on a slow link each answer looks old by the time that it comes.
    */
-  tellsFresh(mark: Mark): boolean;
+  isFresh(mark: FreshnessMark): boolean;
   /** Whether the own state was confirmed of late. */
   isConfirmed(): boolean;
   /** Whether it has not been for long, or since this home is the present one. */
-  isDoubtful(): boolean;
+  isOverdue(): boolean;
   /**
    * Whether the home itself is at fault for an old state, compared with another
    * that has just answered: it has not answered a ping that was sent well
@@ -36,25 +36,25 @@
    * newer version that has not come. Where none holds, what is slow is the own
    * link or process, and no other home would be heard any sooner.
    */
-  isWorseThan(other: Mark): boolean;
+  isWorseThan(other: FreshnessMark): boolean;
 }
 
 /** What marks are judged by; times in milliseconds. */
-export interface HomeMarksOptions {
+export interface FreshnessMarksOptions {
   readonly clock: Clock;
   /** Period of pings. */
   readonly heartbeat: number;
   /** Age of a confirmation at which a home is doubted. */
-  readonly doubtAge: number;
+  readonly overdueAge: number;
 }
 
 /** Creates marks that nothing is known of. */
-export function createHomeMarks(options: HomeMarksOptions): HomeMarks {
-  const {clock, heartbeat, doubtAge} = options;
+export function createFreshnessMarks(options: FreshnessMarksOptions): FreshnessMarks {
+  const {clock, heartbeat, overdueAge: doubtAge} = options;
   /** When each unanswered ping was sent, by its number. */
   const pings = new Map<number, number>();
   let pingNumber = 0;
-  let last: Mark | undefined;
+  let last: FreshnessMark | undefined;
   let ownAsOf: number | undefined;
   let version: number | undefined;
   let begunAt = clock.now();
@@ -63,14 +63,14 @@
 
   const isRecent = (asOf: number) => clock.now() - asOf <= doubtAge;
 
-  function isSilent(other: Mark): boolean {
+  function isSilent(other: FreshnessMark): boolean {
     const [unanswered] = pings.values();
     return (
       unanswered !== undefined && unanswered + heartbeat / 2 < other.askedAt
     );
   }
 
-  function tellsFresh({asOf, askedAt}: Mark): boolean {
+  function tellsFresh({asOf, askedAt}: FreshnessMark): boolean {
     return asOf !== undefined && askedAt - asOf <= doubtAge;
   }
 
@@ -79,7 +79,7 @@
   }
 
   return {
-    begin(first) {
+    reset(first) {
       begunAt = clock.now();
       last = first;
       behindSince = undefined;
@@ -99,7 +99,7 @@
       for (const number of pings.keys()) {
         if (number <= pong.number) pings.delete(number);
       }
-      last = markOf(pong, sentAt);
+      last = freshnessMarkOf(pong, sentAt);
       return last;
     },
     confirm(mark) {
@@ -112,10 +112,10 @@
       version = next;
     },
     last: () => last,
-    ownAsOf: () => ownAsOf,
-    tellsFresh,
+    localAsOf: () => ownAsOf,
+    isFresh: tellsFresh,
     isConfirmed: () => ownAsOf !== undefined && isRecent(ownAsOf),
-    isDoubtful: () => !isRecent(Math.max(ownAsOf ?? begunAt, begunAt)),
+    isOverdue: () => !isRecent(Math.max(ownAsOf ?? begunAt, begunAt)),
     isWorseThan(other) {
       const isAtFault = last === undefined || !tellsFresh(last) || isBehind();
       return isAtFault || isSilent(other);
--- a/src/distribution/freshness.ts
+++ b/src/distribution/freshness-tracker.ts
@@ -4,18 +4,18 @@
 import type {Barrier} from './prover.js';
 
 /** Knows until when the local state was confirmed by a quorum. */
-export interface Freshness {
+export interface FreshnessTracker {
   /** Local time of the last confirmation; undefined before the first. */
   asOf(): number | undefined;
   stop(): void;
 }
 
 /** Creates a control process's freshness: one quorum round each `period`. */
-export function createFreshness(
+export function createFreshnessTracker(
   barrier: Barrier,
   timers: Timers,
   period: number = distributionLimits.freshnessRound,
-): Freshness {
+): FreshnessTracker {
   const confirm = boundBarrier(
     barrier,
     timers,
--- a/src/distribution/home-options.ts
+++ b/src/distribution/home-connection-options.ts
@@ -8,7 +8,7 @@
 import {distributionLimits as limits} from './limits.js';
 
 /** Settings of a home; times in milliseconds. */
-export interface HomeOptions {
+export interface HomeConnectionOptions {
   readonly network: Network;
   /** Where a link may go; plain addresses count as far away. */
   readonly homes: ReadonlyArray<Address | HomeAddress>;
@@ -22,7 +22,7 @@
   /** Age of the last confirmation after which it is not fresh; default 3000. */
   readonly freshness?: number;
   /** Longest delay before a lost link is opened again; default 5000. */
-  readonly longestReconnect?: number;
+  readonly maxReconnectDelay?: number;
   /** Test only: parts that keep a failure away, all on by default. */
   readonly safeguards?: {
     readonly freshness?: boolean;
@@ -31,28 +31,28 @@
 }
 
 /** Periods of a home and its safeguards; times in milliseconds. */
-export interface HomePeriods {
+export interface HomeConnectionPeriods {
   /** Period of pings. */
   readonly heartbeat: number;
   /** Age of the last confirmation after which it is not fresh. */
   readonly freshness: number;
   /** Age of the last confirmation at which other homes are asked. */
-  readonly doubtAge: number;
+  readonly overdueAge: number;
   /** Delay before a home is sought again. */
-  readonly reconnect: BackoffBounds;
-  readonly guarded: {readonly freshness: boolean; readonly silence: boolean};
+  readonly reconnectDelay: BackoffBounds;
+  readonly safeguards: {readonly freshness: boolean; readonly silence: boolean};
 }
 
 /** Resolves what the options leave out. */
-export function resolveHomePeriods(options: HomeOptions): HomePeriods {
+export function resolveHomePeriods(options: HomeConnectionOptions): HomeConnectionPeriods {
   const freshness = options.freshness ?? limits.freshness;
-  const most = options.longestReconnect ?? limits.reconnect.most;
+  const most = options.maxReconnectDelay ?? limits.reconnect.most;
   return {
     heartbeat: options.heartbeat ?? defaultHeartbeat(options.self),
     freshness,
-    doubtAge: freshness * limits.doubt,
-    reconnect: {...limits.reconnect, most},
-    guarded: {freshness: true, silence: true, ...options.safeguards},
+    overdueAge: freshness * limits.doubt,
+    reconnectDelay: {...limits.reconnect, most},
+    safeguards: {freshness: true, silence: true, ...options.safeguards},
   };
 }
 
--- a/src/distribution/home.test.ts
+++ b/src/distribution/home-connection.test.ts
@@ -1,15 +1,15 @@
 import test from 'ava';
-import {createOperator, createStage} from './fakes/stage.js';
+import {createOperator, createTestCluster} from './fakes/test-cluster.js';
 import type {HomeAddress} from '../fleet/messages.js';
-import type {HomeOptions} from './home-options.js';
+import type {HomeConnectionOptions} from './home-connection-options.js';
 
-type Safeguards = HomeOptions['safeguards'];
+type Safeguards = HomeConnectionOptions['safeguards'];
 
 // A node keeps an old version for as long as a partition lasts. Its home is a
 // control VM that is cut off from the quorum, while the link to the node is up
 // and answers each ping. Only the age of the home's mark tells.
 async function isolateHome(safeguards: Safeguards) {
-  const stage = createStage();
+  const stage = createTestCluster();
   const operator = createOperator();
   operator.accept({put: ['crewbook']});
   const other = await stage.control('control-2', operator);
@@ -46,7 +46,7 @@
 // A node keeps an old version since its link is dead without a sign: the
 // home's VM lost its power, so no FIN and no reset ever came.
 async function silenceHome(safeguards: Safeguards) {
-  const stage = createStage();
+  const stage = createTestCluster();
   const operator = createOperator();
   operator.accept({put: ['crewbook']});
   const nearest = await stage.control('control-1', operator);
@@ -76,7 +76,7 @@
 // A partition holds back the answer to a ping for a minute. Taken for the time
 // at which it arrives, its small age would make an old state look fresh.
 test('a delayed answer does not make an old state look fresh', async t => {
-  const stage = createStage();
+  const stage = createTestCluster();
   const operator = createOperator();
   const control = await stage.control('control-1', operator);
   const silence = {silence: false, freshness: false};
@@ -120,7 +120,7 @@
 // node runs on. When the last of them goes, the node has nowhere to ask and
 // keeps its version for good, unless its home told it of the new ones.
 async function replaceAllHomes(isTold: boolean) {
-  const stage = createStage();
+  const stage = createTestCluster();
   const operator = createOperator();
   operator.accept({put: ['crewbook']});
   let homes: readonly HomeAddress[] = [];
@@ -167,7 +167,7 @@
 });
 
 async function attachToThree() {
-  const stage = createStage();
+  const stage = createTestCluster();
   const operator = createOperator();
   operator.accept({put: ['crewbook']});
   const homes: string[] = [];
--- a/src/distribution/mesh.ts
+++ b/src/distribution/home-mesh.ts
@@ -4,11 +4,11 @@
 import type {Log} from '../log/log.js';
 import type {Random} from '../random/random.js';
 import type {Timers} from '../time/timers.js';
-import {createHome} from './home.js';
-import type {Home} from './home.js';
+import {createHomeConnection} from './home-connection.js';
+import type {HomeConnection} from './home-connection.js';
 
 /** Settings of a mesh. */
-export interface MeshOptions {
+export interface HomeMeshOptions {
   readonly network: Network;
   readonly self: Hello;
   /** Where this process accepts links. */
@@ -21,26 +21,26 @@
 }
 
 /** One link between each two homes of a kind. */
-export interface Mesh {
+export interface HomeMesh {
   /** Calls `observe` with the channels of each link that was opened here. */
   onChannels(observe: (channels: Channels) => void): void;
   /** Calls `observe` with each report that came over those links. */
   onReport(observe: (report: Report) => void): void;
   /** Keeps links to these fellow homes from now on, and to no others. */
-  follow(peers: readonly Address[]): void;
+  setPeers(peers: readonly Address[]): void;
   stop(): void;
 }
 
 /** Creates a mesh: of two homes, the one with the lesser address opens. */
-export function createMesh(options: MeshOptions): Mesh {
+export function createHomeMesh(options: HomeMeshOptions): HomeMesh {
   const {address, peers, ...shared} = options;
-  const homes = new Map<Address, Home>();
+  const homes = new Map<Address, HomeConnection>();
   const channelsObservers: Array<(channels: Channels) => void> = [];
   const reportObservers: Array<(report: Report) => void> = [];
   let isStopped = false;
 
   function open(peer: Address): void {
-    const home = createHome({...shared, homes: [peer], heartbeat: 1000});
+    const home = createHomeConnection({...shared, homes: [peer], heartbeat: 1000});
     homes.set(peer, home);
     for (const observe of channelsObservers) home.onChannels(observe);
     for (const observe of reportObservers) home.onReport(observe);
@@ -67,7 +67,7 @@
       reportObservers.push(observe);
       for (const home of homes.values()) home.onReport(observe);
     },
-    follow,
+    setPeers: follow,
     stop() {
       isStopped = true;
       for (const home of homes.values()) home.stop();
--- a/src/distribution/home-candidate.ts
+++ b/src/distribution/home-probe.ts
@@ -4,40 +4,40 @@
 import type {Channels} from '../link/channel.js';
 import type {Link, Network} from '../link/link.js';
 import type {Subscription, Timers} from '../time/timers.js';
-import {markOf} from './mark.js';
-import type {Mark} from './mark.js';
+import {freshnessMarkOf} from './freshness-mark.js';
+import type {FreshnessMark} from './freshness-mark.js';
 
 /** A home that has answered, on a link that is not used yet. */
-export interface Candidate {
+export interface HomeCandidate {
   readonly home: HomeAddress;
   /** The home's own name; undefined where it did not tell. */
   readonly name: string | undefined;
   readonly channels: Channels;
-  readonly mark: Mark;
+  readonly mark: FreshnessMark;
 }
 
 /** What `askCandidate` works with. */
-export interface CandidateOptions {
+export interface HomeProbeOptions {
   readonly home: HomeAddress;
   readonly network: Network;
   readonly timers: Timers;
   /** Milliseconds that an open link may stay without an answer. */
   readonly timeout: number;
-  readonly onAnswer: (candidate: Candidate) => void;
+  readonly onAnswer: (candidate: HomeCandidate) => void;
   readonly onFailure: (problem: string) => void;
 }
 
 /** A question under way. */
-export interface Question {
+export interface HomeProbe {
   /** Ends it without an answer or a failure. */
-  abandon(): void;
+  cancel(): void;
 }
 
 /**
  * Opens a link to a home and pings it. A VM that stands still takes connections
  * all the same, so only the answer shows that its process works.
  */
-export function askCandidate(options: CandidateOptions): Question {
+export function probeHome(options: HomeProbeOptions): HomeProbe {
   const {home, network, timers, timeout} = options;
   let isOver = false;
   let link: Link | undefined;
@@ -66,7 +66,7 @@
       const message = body as FleetMessage;
       if (isOver || message.kind !== 'pong') return;
       end();
-      const mark = markOf(message, sentAt);
+      const mark = freshnessMarkOf(message, sentAt);
       options.onAnswer({home, name: message.home, channels, mark});
     });
     fleet.send({kind: 'ping', number: 0});
@@ -81,7 +81,7 @@
   );
 
   return {
-    abandon() {
+    cancel() {
       end();
       link?.close();
     },
--- a/src/distribution/home-search.ts
+++ b/src/distribution/home-search.ts
@@ -7,8 +7,8 @@
 import type {Address, Network} from '../link/link.js';
 import type {Log} from '../log/log.js';
 import type {Subscription, Timers} from '../time/timers.js';
-import {askCandidate} from './home-candidate.js';
-import type {Candidate, Question} from './home-candidate.js';
+import {probeHome} from './home-probe.js';
+import type {HomeCandidate, HomeProbe} from './home-probe.js';
 import {distributionLimits as limits} from './limits.js';
 
 /** What a search works with. */
@@ -22,11 +22,11 @@
    * Takes the link of a home that answered, or leaves it. `round` counts from 0
    * since the search began.
    */
-  readonly take: (candidate: Candidate, round: number) => boolean;
+  readonly tryAttach: (candidate: HomeCandidate, round: number) => boolean;
   /** A home has no connection or no answer. */
   readonly onFailure: (home: HomeAddress) => void;
   /** Milliseconds until the next round; undefined to end the search. */
-  readonly pause: () => number | undefined;
+  readonly nextRoundDelay: () => number | undefined;
 }
 
 /** A search for a home. */
@@ -35,17 +35,17 @@
    * Begins a round after `delay` milliseconds. Of one under way the answers still
    * count; which homes are left to ask is decided anew.
    */
-  begin(delay: number): void;
+  start(delay: number): void;
   /** Whether a round is under way or due. */
-  isOn(): boolean;
+  isActive(): boolean;
   /** Ends it, with all questions under way. */
-  end(): void;
+  stop(): void;
 }
 
 /** Creates a search that asks nobody yet. */
 export function createHomeSearch(options: HomeSearchOptions): HomeSearch {
   const {network, timers, log} = options;
-  const underWay = new Map<Address, Question>();
+  const underWay = new Map<Address, HomeProbe>();
   let queue: HomeAddress[] = [];
   let round = 0;
   let isAsking = false;
@@ -54,7 +54,7 @@
   function end(): void {
     timer?.cancel();
     timer = undefined;
-    for (const question of underWay.values()) question.abandon();
+    for (const question of underWay.values()) question.cancel();
     underWay.clear();
     queue = [];
     isAsking = false;
@@ -83,7 +83,7 @@
 
   function endRound(): void {
     isAsking = false;
-    const delay = options.pause();
+    const delay = options.nextRoundDelay();
     if (delay === undefined) {
       end();
       return;
@@ -93,7 +93,7 @@
   }
 
   function ask(home: HomeAddress): void {
-    const question = askCandidate({
+    const question = probeHome({
       home,
       network,
       timers,
@@ -112,8 +112,8 @@
     underWay.set(home.address, question);
   }
 
-  function receive(candidate: Candidate): void {
-    if (options.take(candidate, round)) {
+  function receive(candidate: HomeCandidate): void {
+    if (options.tryAttach(candidate, round)) {
       end();
       return;
     }
@@ -122,12 +122,12 @@
   }
 
   return {
-    begin(delay) {
+    start(delay) {
       round = 0;
       timer?.cancel();
       timer = timers.after(delay, beginRound);
     },
-    isOn: () => isAsking || timer !== undefined,
-    end,
+    isActive: () => isAsking || timer !== undefined,
+    stop: end,
   };
 }
--- a/src/distribution/home-choice.ts
+++ b/src/distribution/home-selector.ts
@@ -6,33 +6,33 @@
 import {createKnownHomes} from './known-homes.js';
 import type {KnownHomes} from './known-homes.js';
 import {distributionLimits as limits} from './limits.js';
-import type {Place} from './rendezvous.js';
+import type {Locality} from './rendezvous.js';
 
 /** Options of `createHomeChoice`. */
-export interface HomeChoiceOptions {
-  readonly self: Place;
+export interface HomeSelectorOptions {
+  readonly self: Locality;
   readonly homes: readonly HomeAddress[];
   readonly clock: Clock;
   readonly random: Random;
 }
 
 /** The homes of a process, and those under suspicion. */
-export interface HomeChoice extends Pick<KnownHomes, 'configure' | 'learn'> {
+export interface HomeSelector extends Pick<KnownHomes, 'configure' | 'learn'> {
   /** The homes without suspicion, the nearest first. */
   trusted(): HomeAddress[];
   /** All homes: those without suspicion, then those longest out of it. */
-  order(): HomeAddress[];
+  ordered(): HomeAddress[];
   isNearer(home: HomeAddress, than: HomeAddress): boolean;
   /** A home failed; it is tried after all others for a while. */
   suspect(home: HomeAddress): void;
   /** A home was left since it did not confirm the own state. */
-  foundOld(): void;
+  countStale(): void;
   /** A home has confirmed the own state. */
   trust(home: HomeAddress): void;
 }
 
 /** Creates a choice that suspects none of its homes. */
-export function createHomeChoice(options: HomeChoiceOptions): HomeChoice {
+export function createHomeSelector(options: HomeSelectorOptions): HomeSelector {
   const {clock, random} = options;
   const known = createKnownHomes(options.self, options.homes);
   const suspectUntil = new Map<Address, number>();
@@ -47,7 +47,7 @@
     configure: known.configure,
     learn: known.learn,
     trusted,
-    order() {
+    ordered() {
       const suspects = known.list().filter(isSuspect);
       suspects.sort((left, right) => until(left) - until(right));
       return [...trusted(), ...suspects];
@@ -62,7 +62,7 @@
       const duration = limits.suspicion * doubled * (0.5 + random.fraction());
       suspectUntil.set(home.address, clock.now() + duration);
     },
-    foundOld: () => void oldMarks++,
+    countStale: () => void oldMarks++,
     trust(home) {
       oldMarks = 0;
       suspectUntil.delete(home.address);
--- a/src/distribution/in-force.test.ts
+++ b/src/distribution/in-force.test.ts
@@ -1,6 +1,6 @@
 import test from 'ava';
-import {createOperator, createStage} from './fakes/stage.js';
-import type {StagedHome} from './fakes/stage.js';
+import {createOperator, createTestCluster} from './fakes/test-cluster.js';
+import type {TestHome} from './fakes/test-cluster.js';
 
 /** Milliseconds from acceptance within which a change is promised to be in force. */
 const promised = 2000;
@@ -9,7 +9,7 @@
 const promisedAtSize = 5000;
 
 /** A node's periods where that is promised. */
-const periods = {heartbeat: 400, freshness: 1200, longestReconnect: 300};
+const periods = {heartbeat: 400, freshness: 1200, maxReconnectDelay: 300};
 
 /** Milliseconds between the moments at which a fault is tried. */
 const step = 40;
@@ -18,10 +18,10 @@
 
 /** A node, its homes in the order in which it prefers them, and their operator. */
 async function attachNode(offset: number) {
-  const stage = createStage();
+  const stage = createTestCluster();
   const operator = createOperator();
   operator.accept({put: ['crewbook']});
-  const homes: StagedHome[] = [];
+  const homes: TestHome[] = [];
   const isolated = new Set<number>();
   for (const [index, name] of names.entries()) {
     let shown = operator.current();
--- a/src/distribution/messages.ts
+++ b/src/distribution/messages.ts
@@ -89,13 +89,13 @@
 }
 
 /** Asks the subscriber for a `Compare`. */
-export interface Differ {
+export interface ComparisonRequest {
   readonly kind: 'differ';
   readonly subscription: number;
 }
 
 /** Tells a subscriber to ask again, since syncs are admitted at a bounded rate. */
-export interface Later {
+export interface Postponement {
   readonly kind: 'later';
   readonly subscription: number;
   /** Milliseconds to wait, jitter included. */
@@ -116,4 +116,4 @@
 }
 
 /** What a distributor sends to a subscriber. */
-export type Response = Push | Differ | Later | Proof | Unproved;
+export type Response = Push | ComparisonRequest | Postponement | Proof | Unproved;
--- a/src/distribution/proof-requests.ts
+++ b/src/distribution/proof-requests.ts
@@ -14,7 +14,7 @@
 /** Requests for a proof that wait for their answer. */
 export interface ProofRequests {
   /** Sends one nonce; resolves with the proved version. */
-  ask(send: (nonce: string) => void): Promise<Result<number>>;
+  request(send: (nonce: string) => void): Promise<Result<number>>;
   /** Takes the answer to a nonce; undefined when no quorum answered. */
   answer(nonce: string, version: number | undefined): void;
   /** Fails all that wait. */
@@ -38,7 +38,7 @@
     failure(distributionCodes.noProof, problem);
 
   return {
-    ask(send) {
+    request(send) {
       const nonce = makeNonce();
       return new Promise(resolve => {
         const timer = timers.after(timeout, () =>
--- a/src/distribution/proof.test.ts
+++ b/src/distribution/proof.test.ts
@@ -1,8 +1,8 @@
 import test from 'ava';
 import {success} from '../result/failure.js';
 import {settle} from '../time/fakes/fake-timers.js';
-import {createOperator, createStage} from './fakes/stage.js';
-import type {Operator} from './fakes/stage.js';
+import {createOperator, createTestCluster} from './fakes/test-cluster.js';
+import type {Operator} from './fakes/test-cluster.js';
 import {createProver} from './prover.js';
 import type {SubscriberSafeguards} from './subscriber.js';
 
@@ -17,7 +17,7 @@
 // control VM that a partition cut off at version 1, which does not know that
 // it is behind. The nonce needs a quorum round, which that VM cannot have.
 async function restartAtIsolated(safeguards: Partial<SubscriberSafeguards>) {
-  const stage = createStage();
+  const stage = createTestCluster();
   const operator = createOperator();
   operator.accept({put: ['crewbook']});
   const stale = createStale(operator);
@@ -55,7 +55,7 @@
 // without a sign: its links are open and silent. It passes the nonce on and
 // gets no answer, so it cannot hand out what it holds.
 test('a relay that is cut from control cannot prove its old state', async t => {
-  const stage = createStage();
+  const stage = createTestCluster();
   const operator = createOperator();
   operator.accept({put: ['crewbook']});
   const control = await stage.control('control-1', operator);
@@ -76,7 +76,7 @@
 // A quorum outage must not become an outage of all proxies: a node that has
 // once proved its state goes on with it, and only its age grows.
 test('a running node goes on with what it has when no quorum answers', async t => {
-  const stage = createStage();
+  const stage = createTestCluster();
   const operator = createOperator();
   operator.accept({put: ['crewbook']});
   const control = await stage.control('control-1', operator);
@@ -89,7 +89,7 @@
 });
 
 test('the nonces of a herd share quorum rounds', async t => {
-  const stage = createStage();
+  const stage = createTestCluster();
   const operator = createOperator();
   operator.accept({put: ['crewbook']});
   const control = await stage.control('control-1', operator);
@@ -128,7 +128,7 @@
 
 // A round that hangs with a cut link would keep all later nonces waiting.
 test('a round that never ends does not keep later nonces waiting', async t => {
-  const stage = createStage();
+  const stage = createTestCluster();
   const operator = createOperator();
   operator.accept({put: ['crewbook']});
   let hangs = true;
--- a/src/distribution/rendezvous.ts
+++ b/src/distribution/rendezvous.ts
@@ -2,7 +2,7 @@
 import type {HomeAddress} from '../fleet/messages.js';
 
 /** Where a process stands, to find what is near. */
-export interface Place {
+export interface Locality {
   readonly name: string;
   readonly failureDomain: string;
   readonly region: string;
@@ -14,7 +14,7 @@
  * over those that are left, and no other node moves.
  */
 export function rankHomes(
-  place: Place,
+  place: Locality,
   homes: readonly HomeAddress[],
 ): HomeAddress[] {
   const scored = homes.map(home => ({
@@ -28,7 +28,7 @@
   return scored.map(entry => entry.home);
 }
 
-function distanceTo(place: Place, home: HomeAddress): number {
+function distanceTo(place: Locality, home: HomeAddress): number {
   if (home.failureDomain === place.failureDomain) return 0;
   if (home.region === place.region) return 1;
   return 2;
--- a/src/distribution/section-source.test.ts
+++ b/src/distribution/section-source.test.ts
@@ -7,7 +7,7 @@
 } from '../configuration/fakes/sample.js';
 import {defaults} from '../settings/defaults.js';
 import {nextTurn} from '../time/turn.js';
-import {createSectionSource, tellInOwnTurn} from './section-source.js';
+import {createSectionSource, deferNotifications} from './section-source.js';
 import type {SectionState} from './section-source.js';
 
 const routeCount = 1_700;
@@ -64,7 +64,7 @@
 // lay in its sockets meanwhile were read after the election.
 test('a change is applied in one turn and packed in the next', async t => {
   const machine = createSampleMachine();
-  const source = tellInOwnTurn(createSectionSource(machine));
+  const source = deferNotifications(createSectionSource(machine));
   let told = 0;
   source.onChange(() => told++);
   const edits = [putService('records')];
--- a/src/distribution/section-source.ts
+++ b/src/distribution/section-source.ts
@@ -74,7 +74,7 @@
  * stand a small VM still for longer than an election timeout, and its group
  * elects another leader with the same work before it.
  */
-export function tellInOwnTurn(source: SectionSource): SectionSource {
+export function deferNotifications(source: SectionSource): SectionSource {
   return {
     current: source.current,
     onChange: observe => source.onChange(() => void nextTurn().then(observe)),
--- a/src/distribution/section.test.ts
+++ b/src/distribution/section.test.ts
@@ -4,15 +4,15 @@
   Route,
   Quarantine,
 } from '../configuration/configuration.js';
-import {buildCandidate} from './candidate.js';
-import type {HeldState} from './candidate.js';
+import {buildCandidateState} from './candidate-state.js';
+import type {HeldState} from './candidate-state.js';
 import {serviceOf} from './section-name.js';
 import {createSectionSource} from './section-source.js';
 import type {SectionState} from './section-source.js';
 import {
   coveredSections,
   digestCovered,
-  intersect,
+  selectCoveredNames,
   makePush,
 } from './sync-plan.js';
 
@@ -79,7 +79,7 @@
   push: ReturnType<typeof pushTo>,
   services: readonly string[] | 'all',
 ): HeldState {
-  const built = buildCandidate(held, push, services);
+  const built = buildCandidateState(held, push, services);
   if (!built.ok) throw new Error(built.message);
   return built.value;
 }
@@ -111,7 +111,7 @@
   t.is(names.length, state.sections.size - 1);
   t.true(names.every(name => serviceOf(name) === 'records'));
   const changed = new Set(state.sections.keys());
-  t.deepEqual(intersect(changed, ['uploads']), ['uploads']);
+  t.deepEqual(selectCoveredNames(changed, ['uploads']), ['uploads']);
 });
 
 // A service outgrows its number of parts, and shrinks again later: each route
@@ -124,7 +124,7 @@
     const state = stateOf(configuration);
     const before = [...(held?.sections.keys() ?? [])];
     const changed = new Set([...before, ...state.sections.keys()]);
-    const names = intersect(changed, ['records']);
+    const names = selectCoveredNames(changed, ['records']);
     held = take(held, pushTo(state, ['records'], names, false), ['records']);
     const records = [...configuration.routes.values()].filter(
       ({service}) => service === 'records',
--- a/src/distribution/session.ts
+++ b/src/distribution/session.ts
@@ -1,7 +1,7 @@
 import type {Channel, Channels} from '../link/channel.js';
 import type {Ticket} from './admission.js';
 import type {Compare, Interest, Response} from './messages.js';
-import type {Position} from './sync-plan.js';
+import type {SubscriberPosition} from './sync-plan.js';
 
 /** A distributor's record of one subscriber. */
 export interface Session {
@@ -12,17 +12,17 @@
   services: Interest;
   /** One text for each set of services; see `interestKey`. */
   key: string;
-  position: Position;
+  position: SubscriberPosition;
   /** What the subscriber told section by section; undefined if it did not. */
-  compared: Compare | undefined;
+  comparison: Compare | undefined;
   /** The version last sent; undefined while a sync is awaited. */
   sent: number | undefined;
   /** Nonces that a quorum confirmed and that wait for the state. */
-  proved: string[];
+  provedNonces: string[];
   ticket: Ticket | undefined;
 }
 
-const nothing: Position = {
+const nothing: SubscriberPosition = {
   services: [],
   version: undefined,
   digest: undefined,
@@ -38,9 +38,9 @@
     services: [],
     key: '',
     position: nothing,
-    compared: undefined,
+    comparison: undefined,
     sent: undefined,
-    proved: [],
+    provedNonces: [],
     ticket: undefined,
   };
 }
@@ -52,7 +52,7 @@
 
 /** Answers the nonces that were confirmed; `version` has been sent. */
 export function answerProofs(session: Session, version: number): void {
-  for (const nonce of session.proved.splice(0)) {
+  for (const nonce of session.provedNonces.splice(0)) {
     respond(session, {kind: 'proof', nonce, version});
   }
 }
--- a/src/distribution/storm.test.ts
+++ b/src/distribution/storm.test.ts
@@ -1,12 +1,12 @@
 import test from 'ava';
-import {createOperator, createStage} from './fakes/stage.js';
+import {createOperator, createTestCluster} from './fakes/test-cluster.js';
 
 // All nodes of a deployment restart while control has no quorum. Callers are
 // refused as not run meanwhile. The nodes must not hammer the relays, and once
 // a quorum answers they must all be back within seconds, with an accepted
 // change among them.
 test('a reconnect storm during an outage of the source ends with it', async t => {
-  const stage = createStage();
+  const stage = createTestCluster();
   const operator = createOperator();
   operator.accept({put: ['crewbook', 'drillvault']});
   const control = await stage.control('control-1', operator);
@@ -40,7 +40,7 @@
 // The same, but it is a relay that dies: its nodes have served all along and
 // hold the newest version, so their move costs a digest each and no state.
 test('nodes of a dead relay move to another without a new state', async t => {
-  const stage = createStage();
+  const stage = createTestCluster();
   const operator = createOperator();
   operator.accept({put: ['crewbook', 'drillvault']});
   const control = await stage.control('control-1', operator);
--- a/src/distribution/subscriber.test.ts
+++ b/src/distribution/subscriber.test.ts
@@ -2,8 +2,8 @@
 import test from 'ava';
 import type {Configuration} from '../configuration/configuration.js';
 import {createRandom} from '../random/random.js';
-import {createOperator, createStage} from './fakes/stage.js';
-import type {Change} from './fakes/stage.js';
+import {createOperator, createTestCluster} from './fakes/test-cluster.js';
+import type {Change} from './fakes/test-cluster.js';
 import type {Push} from './messages.js';
 import type {SubscriberSafeguards} from './subscriber.js';
 
@@ -18,7 +18,7 @@
 // into force. The copy is whole and its digest is right, so only the rule that
 // versions rise keeps it out.
 async function receiveDoubled(safeguards: Partial<SubscriberSafeguards>) {
-  const stage = createStage();
+  const stage = createTestCluster();
   const operator = createOperator();
   operator.accept({put: ['stock-desk']});
   const control = await stage.control('control-1', operator);
@@ -46,7 +46,7 @@
 // version 3 arrives and carries only what changed since 2. Its digest covers
 // the whole state, so the gap shows before the pointer is swapped.
 async function losePush(safeguards: Partial<SubscriberSafeguards>) {
-  const stage = createStage();
+  const stage = createTestCluster();
   const operator = createOperator();
   operator.accept({put: ['crewbook', 'drillvault']});
   const control = await stage.control('control-1', operator);
@@ -76,7 +76,7 @@
 });
 
 test('a lost push that nothing follows is noticed by the home mark', async t => {
-  const stage = createStage();
+  const stage = createTestCluster();
   const operator = createOperator();
   const control = await stage.control('control-1', operator);
   const node = stage.node('node-1', [control.address]);
@@ -92,7 +92,7 @@
 });
 
 test('crossed pushes end in the newest state, by way of whole ones only', async t => {
-  const stage = createStage();
+  const stage = createTestCluster();
   const operator = createOperator();
   operator.accept({put: ['crewbook', 'drillvault']});
   const control = await stage.control('control-1', operator);
@@ -119,7 +119,7 @@
 // of version 2 is lost, and version 3 changes nothing that this node wants, so
 // its push carries no sections. It names the version that it builds on.
 async function loseBase(safeguards: Partial<SubscriberSafeguards>) {
-  const stage = createStage();
+  const stage = createTestCluster();
   const operator = createOperator();
   operator.accept({put: ['crewbook']});
   const control = await stage.control('control-1', operator);
@@ -154,7 +154,7 @@
 // at fault hands out a section without the policy of its route, under a right
 // digest; the check of references refuses it and the old version serves.
 async function receiveDangling(safeguards: Partial<SubscriberSafeguards>) {
-  const stage = createStage();
+  const stage = createTestCluster();
   const operator = createOperator();
   operator.accept({put: ['stock-desk']});
   let shown = operator.current();
@@ -193,7 +193,7 @@
   safeguards: Partial<SubscriberSafeguards>,
 ) {
   const random = createRandom(seed);
-  const stage = createStage(seed);
+  const stage = createTestCluster(seed);
   const operator = createOperator();
   const control = await stage.control('control-1', operator);
   const names = ['a', 'b', 'c', 'd', 'e', 'f'];
--- a/src/distribution/subscriber.ts
+++ b/src/distribution/subscriber.ts
@@ -8,19 +8,19 @@
 import type {Result} from '../result/failure.js';
 import type {Subscription, Timers} from '../time/timers.js';
 import {backoffDelay} from './backoff.js';
-import {buildCandidate, digestHeld, keepCovered} from './candidate.js';
-import type {CandidateSafeguards, HeldState} from './candidate.js';
+import {buildCandidateState, digestHeld, selectCovered} from './candidate-state.js';
+import type {CandidateStateSafeguards, HeldState} from './candidate-state.js';
 import {distributionCodes} from './codes.js';
-import type {Home} from './home.js';
-import type {Mark} from './mark.js';
+import type {HomeConnection} from './home-connection.js';
+import type {FreshnessMark} from './freshness-mark.js';
 import {distributionLimits} from './limits.js';
-import type {Interest, Later, Push, Request, Response} from './messages.js';
+import type {Interest, Postponement, Push, Request, Response} from './messages.js';
 import {createProofRequests, makeNonce} from './proof-requests.js';
 import type {SectionSource} from './section-source.js';
 
 /** Settings of a subscriber. */
 export interface SubscriberOptions {
-  readonly home: Home;
+  readonly home: HomeConnection;
   /** The services whose sections are wanted; default all. */
   readonly services?: Interest;
   readonly timers: Timers;
@@ -31,7 +31,7 @@
 }
 
 /** Test only: the parts of a subscriber that keep a failure away. */
-export interface SubscriberSafeguards extends CandidateSafeguards {
+export interface SubscriberSafeguards extends CandidateStateSafeguards {
   /** Versions only rise within a life. */
   readonly monotonic: boolean;
   /** The first state of a life is proved by a quorum. */
@@ -155,7 +155,7 @@
       complete: isComplete,
       ...(held !== undefined && {
         version: held.version,
-        digest: digestHeld(keepCovered(held, services)),
+        digest: digestHeld(selectCovered(held, services)),
       }),
       ...(nonce !== undefined && {nonce}),
     });
@@ -164,7 +164,7 @@
   /** Tells what is held, to get the sections that differ. */
   function compare(): void {
     service.send('compare');
-    const covered = keepCovered(held, services);
+    const covered = selectCovered(held, services);
     const digests = [...covered].map(([name, {digest}]) => ({name, digest}));
     send({
       kind: 'compare',
@@ -210,7 +210,7 @@
       if (push.version === held?.version) settle();
       return;
     }
-    const candidate = buildCandidate(held, push, services, safeguards);
+    const candidate = buildCandidateState(held, push, services, safeguards);
     if (!candidate.ok) {
       refuse(candidate.code, candidate.message);
       return;
@@ -250,7 +250,7 @@
     if (current() !== 'repairing') compare();
   }
 
-  function receiveLater(later: Later): void {
+  function receiveLater(later: Postponement): void {
     if (later.subscription !== subscription) return;
     retry?.cancel();
     retry = timers.after(later.after, ask);
@@ -273,7 +273,7 @@
   }
 
   /** A home that has sent a newer version than is held: its push was lost. */
-  function receiveMark(mark: Mark): void {
+  function receiveMark(mark: FreshnessMark): void {
     if (current() !== 'inStep' || mark.version === undefined) return;
     if (held === undefined || mark.version > held.version) compare();
   }
@@ -282,7 +282,7 @@
     if (channels === undefined) {
       return failure(distributionCodes.noProof, 'there is no link to a home');
     }
-    const result = await proofs.ask(asked =>
+    const result = await proofs.request(asked =>
       send({kind: 'prove', nonce: asked}),
     );
     if (!result.ok || (held?.version ?? -1) >= result.value) return result;
--- a/src/distribution/sync-plan.ts
+++ b/src/distribution/sync-plan.ts
@@ -13,7 +13,7 @@
 const comparisonWorth = 4;
 
 /** What a subscriber holds and wants, as far as its distributor knows. */
-export interface Position {
+export interface SubscriberPosition {
   readonly services: Interest;
   readonly version: number | undefined;
   readonly digest: string | undefined;
@@ -68,7 +68,7 @@
 export function planSync(
   state: SectionState,
   digest: string,
-  position: Position,
+  position: SubscriberPosition,
   changed: ReadonlySet<string> | undefined,
 ): SyncPlan {
   if (position.digest === digest) return {way: 'current', cost: pushBytes};
@@ -115,18 +115,18 @@
 
 function planDelta(
   state: SectionState,
-  position: Position,
+  position: SubscriberPosition,
   changed: ReadonlySet<string> | undefined,
 ): SyncPlan | undefined {
   if (changed === undefined || !position.complete) return undefined;
-  const names = intersect(changed, position.services);
+  const names = selectCoveredNames(changed, position.services);
   let cost = pushBytes;
   for (const name of names) cost += bytesOf(name, state.sections.get(name));
   return {way: 'delta', cost, names};
 }
 
 /** The names of `changed` that an interest covers, gone ones included. */
-export function intersect(
+export function selectCoveredNames(
   changed: ReadonlySet<string>,
   services: Interest,
 ): string[] {
--- a/src/distribution/sync.test.ts
+++ b/src/distribution/sync.test.ts
@@ -1,11 +1,11 @@
 import test from 'ava';
-import {createOperator, createStage} from './fakes/stage.js';
-import type {Operator, Stage, StagedNode} from './fakes/stage.js';
+import {createOperator, createTestCluster} from './fakes/test-cluster.js';
+import type {Operator, TestCluster, TestNode} from './fakes/test-cluster.js';
 
 const services = Array.from({length: 40}, (_, index) => `service-${index}`);
 
 async function startWith(ringLength: number) {
-  const stage = createStage();
+  const stage = createTestCluster();
   const operator = createOperator();
   operator.accept({put: services});
   const control = await stage.control('control-1', operator, {ringLength});
@@ -16,9 +16,9 @@
 
 /** Cuts the node off while `changes` pass it by, then lets it back. */
 async function missChanges(
-  stage: Stage,
+  stage: TestCluster,
   operator: Operator,
-  node: StagedNode,
+  node: TestNode,
   changes: number,
   touched: number,
 ): Promise<void> {
@@ -50,7 +50,7 @@
 });
 
 test('a home that made up its state in one step compares', async t => {
-  const stage = createStage();
+  const stage = createTestCluster();
   const operator = createOperator();
   const empty = operator.current();
   operator.accept({put: services});
--- a/src/distribution/syncer.ts
+++ b/src/distribution/syncer.ts
@@ -51,8 +51,8 @@
     random,
     rate: options.bytesPerSecond,
     overhead: limits.syncOverhead,
-    horizon: limits.syncHorizon,
-    tick: limits.syncTick,
+    maxQueueSeconds: limits.syncHorizon,
+    period: limits.syncTick,
   });
   const clogged = new Set<Session>();
   const count = {
@@ -78,7 +78,7 @@
     }
     const {version} = session.position;
     const ticket = admission.offer({
-      need: version === undefined ? Infinity : state.version - version,
+      versionsBehind: version === undefined ? Infinity : state.version - version,
       cost: plan.cost,
       admit: () => sync(session),
       postpone: after => postpone(session, after),
@@ -112,14 +112,14 @@
   function sync(session: Session): void {
     session.ticket = undefined;
     const state = view.newest()!;
-    const {compared} = session;
+    const {comparison: compared} = session;
     const isSent =
       compared === undefined
         ? syncByPlan(session, state)
         : syncByComparison(session, state, compared);
     if (!isSent) return;
     session.sent = state.version;
-    session.compared = undefined;
+    session.comparison = undefined;
     answerProofs(session, state.version);
   }
 
--- a/src/fleet/fleet.test.ts
+++ b/src/fleet/fleet.test.ts
@@ -1,9 +1,9 @@
 import test from 'ava';
-import {createMesh} from '../distribution/mesh.js';
+import {createHomeMesh} from '../distribution/home-mesh.js';
 import {createSilentLog} from '../log/log.js';
 import {createRandom} from '../random/random.js';
-import {createOperator, createStage} from '../distribution/fakes/stage.js';
-import {createRoster} from './roster.js';
+import {createOperator, createTestCluster} from '../distribution/fakes/test-cluster.js';
+import {createNodeTable} from './node-table.js';
 import {joinSummaries} from './summary.js';
 import type {HomeSummary} from './messages.js';
 import {createFakeTimers} from '../time/fakes/fake-timers.js';
@@ -14,7 +14,7 @@
 // the old one. The home has sent version 2, but its push is still under way.
 // What was sent says nothing; the node's own word after its switch does.
 test('a version counts as in force only after the node switched', async t => {
-  const stage = createStage();
+  const stage = createTestCluster();
   const operator = createOperator();
   operator.accept({put: ['crewbook']});
   const control = await stage.control('control-1', operator);
@@ -37,7 +37,7 @@
 });
 
 test('nodes behind relays are summed, whatever their number', async t => {
-  const stage = createStage();
+  const stage = createTestCluster();
   const operator = createOperator();
   operator.accept({put: ['crewbook']});
   const control = await stage.control('control-1', operator);
@@ -55,7 +55,7 @@
 // Operators would take a failure domain for current that nobody has heard of
 // for a minute: its relay is cut off, and its last word was good.
 test('what a lost relay spoke for becomes unknown, not in force', async t => {
-  const stage = createStage();
+  const stage = createTestCluster();
   const operator = createOperator();
   operator.accept({put: ['crewbook']});
   const control = await stage.control('control-1', operator);
@@ -80,13 +80,13 @@
 // An operator asks one control process while most nodes are at the others. When
 // the mesh between them is cut, what the others said last grows old.
 test('control processes tell each other what is in force at their nodes', async t => {
-  const stage = createStage();
+  const stage = createTestCluster();
   const operator = createOperator();
   operator.accept({put: ['crewbook']});
   const first = await stage.control('control-1', operator);
   const second = await stage.control('control-2', operator);
   const meshes = [first, second].map(control => {
-    const mesh = createMesh({
+    const mesh = createHomeMesh({
       network: stage.network.from(control.name),
       self: {
         kind: 'control',
@@ -101,7 +101,7 @@
       log: createSilentLog(),
     });
     mesh.onChannels(control.fleet.report);
-    mesh.onReport(control.fleet.receive);
+    mesh.onReport(control.fleet.receiveReport);
     return mesh;
   });
   stage.node('node-1', [first.address]);
@@ -118,7 +118,7 @@
 });
 
 test('a node lost without a goodbye is unknown, later forgotten', async t => {
-  const stage = createStage();
+  const stage = createTestCluster();
   const operator = createOperator();
   const control = await stage.control('control-1', operator);
   stage.node('node-1', [control.address]);
@@ -139,7 +139,7 @@
 
 test('a summary is of bounded size', t => {
   const timers = createFakeTimers();
-  const roster = createRoster(timers);
+  const roster = createNodeTable(timers);
   for (let index = 0; index < 500; index++) {
     const hello = {
       kind: 'node' as const,
@@ -222,7 +222,7 @@
 // relay is silent; the node that could come over is counted where it is, and
 // the one that could not must stay unknown all the while.
 test('a home that is cut off for long keeps its nodes unknown', async t => {
-  const stage = createStage();
+  const stage = createTestCluster();
   const operator = createOperator();
   operator.accept({put: ['crewbook']});
   const control = await stage.control('control-1', operator);
@@ -247,7 +247,7 @@
 // few nodes only. Were they taken for all, the change would seem in force
 // everywhere while most nodes, at the other control process, lack it.
 test('a control process that just started does not speak for all', async t => {
-  const stage = createStage();
+  const stage = createTestCluster();
   const operator = createOperator();
   operator.accept({put: ['crewbook']});
   const alone = await stage.control('control-1', operator, {}, 1);
@@ -255,20 +255,20 @@
   await stage.timers.advanceAsync(4000);
   t.like(alone.fleet.summary(), {nodes: 1, inForce: 1, isSettled: false});
   const report = {...homeSummary({home: 'control-2'}), arrivals: []};
-  alone.fleet.receive({kind: 'report', summaries: [report]});
+  alone.fleet.receiveReport({kind: 'report', summaries: [report]});
   t.like(alone.fleet.summary(), {nodes: 6, isSettled: true});
 });
 
 // A control process that replaced another one is in nobody's settings. Until
 // its fellows link to it, its nodes are missing from what they tell operators.
 test('a mesh follows its fellows as they change', async t => {
-  const stage = createStage();
+  const stage = createTestCluster();
   const operator = createOperator();
   operator.accept({put: ['crewbook']});
   const first = await stage.control('control-1', operator);
   const second = await stage.control('control-2', operator);
   const joined = await stage.control('control-4', operator);
-  const mesh = createMesh({
+  const mesh = createHomeMesh({
     network: stage.network.from(first.name),
     self: {kind: 'control', name: first.name, failureDomain: 'a', region: 'r'},
     address: first.address,
@@ -278,11 +278,11 @@
     log: createSilentLog(),
   });
   mesh.onChannels(first.fleet.report);
-  mesh.onReport(first.fleet.receive);
+  mesh.onReport(first.fleet.receiveReport);
   stage.node('node-1', [joined.address]);
   await stage.timers.advanceAsync(5000);
   t.is(first.fleet.summary().nodes, 0);
-  mesh.follow([first.address, joined.address]);
+  mesh.setPeers([first.address, joined.address]);
   await stage.timers.advanceAsync(5000);
   t.like(first.fleet.summary(), {nodes: 1, inForce: 1});
   const homes = first.fleet.summary().homes;
@@ -292,7 +292,7 @@
 
 /** Opens a bare link to a new control process and returns what it answers. */
 async function openLink() {
-  const stage = createStage();
+  const stage = createTestCluster();
   const control = await stage.control('control-1', createOperator());
   const opening = stage.network.from('node-1').connect(control.address);
   await stage.timers.advanceAsync(10);
--- a/src/fleet/fleet.ts
+++ b/src/fleet/fleet.ts
@@ -11,12 +11,12 @@
   HomeAddress,
   HomeSummary,
   Ping,
-  Position,
+  HomePosition,
   Report,
 } from './messages.js';
-import {createRoster} from './roster.js';
-import type {Member} from './roster.js';
-import {createMoves} from './moves.js';
+import {createNodeTable} from './node-table.js';
+import type {NodeEntry} from './node-table.js';
+import {createNodeMoves} from './node-moves.js';
 import {joinSummaries} from './summary.js';
 import type {FleetSummary} from './summary.js';
 
@@ -26,9 +26,9 @@
   readonly timers: Timers;
   readonly log: Log;
   /** What pings are answered with. */
-  readonly position: () => Position;
+  readonly position: () => HomePosition;
   /** How many fellow homes tell this one of their nodes; default none. */
-  readonly fellows?: () => number;
+  readonly peerCount?: () => number;
   /** Homes that nodes are told of besides their settings; default none. */
   readonly homes?: () => readonly HomeAddress[];
 }
@@ -42,7 +42,7 @@
   /** Sends this home's reports over a link that it opened itself. */
   report(channels: Channels): void;
   /** Takes a report that came over a link that this home opened itself. */
-  receive(report: Report): void;
+  receiveReport(report: Report): void;
   /** What is in force where, for `version`; by default this home's own. */
   summary(version?: number): FleetSummary;
   stop(): void;
@@ -59,9 +59,9 @@
 /** Creates the fleet of one home. */
 export function createFleet(options: FleetOptions): Fleet {
   const {self, timers, log, position} = options;
-  const roster = createRoster(timers);
+  const roster = createNodeTable(timers);
   const received = new Map<string, Received>();
-  const moves = createMoves(timers);
+  const moves = createNodeMoves(timers);
   const startedAt = timers.now();
   /** Homes that this one speaks for: relays below it. */
   const below = new Set<string>();
@@ -79,11 +79,11 @@
     receiveHello(fleet, {
       // Other homes are not told: a fellow that asks keeps its link to this one.
       answer: ping => answer(fleet, ping, noHomes),
-      greet(hello) {
+      acceptHello(hello) {
         name = hello.name;
         return greet(hello, channels, watch);
       },
-      refuse() {
+      reject() {
         log.warn('link without a hello', {peer: channels.link.peer});
         channels.link.close();
       },
@@ -122,10 +122,10 @@
 
   function greetNode(hello: Hello, channels: Channels) {
     const member = roster.add(hello, channels);
-    moves.arrived(hello);
+    moves.addArrival(hello);
     changed = true;
     channels.onClose(() => {
-      roster.lose(member);
+      roster.markLost(member);
       changed = true;
     });
     const fleet = channels.on('fleet');
@@ -133,11 +133,11 @@
   }
 
   function receiveFromNode(
-    member: Member,
+    member: NodeEntry,
     fleet: Channel,
     message: FleetMessage,
   ): void {
-    member.heardAt = timers.now();
+    member.lastMessageAt = timers.now();
     switch (message.kind) {
       case 'ping':
         acknowledge(member, message.version);
@@ -153,7 +153,7 @@
     }
   }
 
-  function acknowledge(member: Member, version: number | undefined): void {
+  function acknowledge(member: NodeEntry, version: number | undefined): void {
     if (version === undefined || version === member.version) return;
     member.version = Math.max(version, member.version ?? version);
     changed = true;
@@ -204,8 +204,8 @@
       const known = received.get(summary.home);
       if (known !== undefined && known.madeAt > madeAt) continue;
       received.set(summary.home, {summary, madeAt});
-      moves.note(summary);
-      moves.heard(summary.home, madeAt);
+      moves.addArrivals(summary);
+      moves.removeOutdated(summary.home, madeAt);
       if (below.has(summary.home)) changed = true;
     }
   }
@@ -215,7 +215,7 @@
     const age = timers.now() - startedAt;
     if (age >= fleetLimits.fellowsAwaited) return true;
     const heard = [...received.keys()].filter(name => !below.has(name));
-    const isComplete = heard.length >= (options.fellows?.() ?? 0);
+    const isComplete = heard.length >= (options.peerCount?.() ?? 0);
     return isComplete && age >= fleetLimits.settling;
   }
 
@@ -228,7 +228,7 @@
   }
 
   function sendReports(): void {
-    roster.forget();
+    roster.removeExpired();
     dropOld();
     const now = timers.now();
     const isDue = changed || now - reportedAt >= fleetLimits.reportIdle;
@@ -248,7 +248,7 @@
       if (madeAt > oldest) continue;
       log.warn('home dropped from the summary', {home: name});
       received.delete(name);
-      moves.forget(name);
+      moves.remove(name);
       below.delete(name);
     }
   }
@@ -259,7 +259,7 @@
     accept,
     onHello: observe => void observers.push(observe),
     report,
-    receive,
+    receiveReport: receive,
     summary(version = position().version ?? 0) {
       const homes = [own(), ...[...received.values()].map(aged)];
       return joinSummaries(version, homes, moves.list(), isSettled());
--- a/src/fleet/hello.ts
+++ b/src/fleet/hello.ts
@@ -8,9 +8,9 @@
   /** Someone asks how fresh this home is before they depend on it. */
   answer(ping: Ping): void;
   /** Returns the receiver of what comes after the hello. */
-  greet(hello: Hello): (message: FleetMessage) => void;
+  acceptHello(hello: Hello): (message: FleetMessage) => void;
   /** Something else came. */
-  refuse(): void;
+  reject(): void;
 }
 
 /**
@@ -19,7 +19,7 @@
  */
 export function receiveHello(
   channel: Channel,
-  {answer, greet, refuse}: HelloReceiver,
+  {answer, acceptHello: greet, reject: refuse}: HelloReceiver,
 ): void {
   let receive: ((message: FleetMessage) => void) | undefined;
   channel.onMessage(body => {
--- a/src/fleet/messages.ts
+++ b/src/fleet/messages.ts
@@ -19,7 +19,7 @@
 }
 
 /** What a home tells its nodes of its own state. */
-export interface Position {
+export interface HomePosition {
   /** The version last sent to all; undefined before the first. */
   readonly version: number | undefined;
   /** Local time at which a quorum confirmed it; undefined if never. */
--- a/src/fleet/moves.ts
+++ b/src/fleet/node-moves.ts
@@ -3,15 +3,15 @@
 import type {Arrival, Hello, HomeSummary} from './messages.js';
 
 /** Nodes that are known to have left one home for another. */
-export interface Moves {
+export interface NodeMoves {
   /** A node came here. */
-  arrived(hello: Hello): void;
+  addArrival(hello: Hello): void;
   /** Takes the arrivals that a home tells of. */
-  note(summary: HomeSummary): void;
+  addArrivals(summary: HomeSummary): void;
   /** A home was heard itself; older moves from it say nothing new. */
-  heard(home: string, madeAt: number): void;
+  removeOutdated(home: string, madeAt: number): void;
   /** The home is not spoken of any more. */
-  forget(home: string): void;
+  remove(home: string): void;
   list(): Arrival[];
 }
 
@@ -24,7 +24,7 @@
  * Remembers moves for as long as the home that was left is silent: homes tell
  * of an arrival for a minute only, and a cut may last much longer.
  */
-export function createMoves(timers: Timers): Moves {
+export function createNodeMoves(timers: Timers): NodeMoves {
   const moves = new Map<string, Map<string, Move>>();
 
   function set(from: string, node: string, move: Move): void {
@@ -34,24 +34,24 @@
   }
 
   return {
-    arrived({name, from, failureDomain}) {
+    addArrival({name, from, failureDomain}) {
       if (from === undefined) return;
       set(from, name, {failureDomain, at: timers.now()});
     },
-    note(summary) {
+    addArrivals(summary) {
       const now = timers.now() - summary.age;
       for (const {node, from, failureDomain, age} of summary.arrivals) {
         set(from, node, {failureDomain, at: now - age});
       }
     },
-    heard(home, madeAt) {
+    removeOutdated(home, madeAt) {
       const left = moves.get(home);
       if (left === undefined) return;
       const oldest = madeAt - fleetLimits.remembered;
       for (const [node, {at}] of left) if (at < oldest) left.delete(node);
       if (left.size === 0) moves.delete(home);
     },
-    forget: home => void moves.delete(home),
+    remove: home => void moves.delete(home),
     list() {
       const now = timers.now();
       return [...moves].flatMap(([from, left]) =>
--- a/src/fleet/roster.ts
+++ b/src/fleet/node-table.ts
@@ -10,43 +10,43 @@
 } from './messages.js';
 
 /** A node as its home knows it. */
-export interface Member {
+export interface NodeEntry {
   readonly hello: Hello;
   readonly channels: Channels;
   /** The version in force there, as the node itself said. */
   version: number | undefined;
-  heardAt: number;
+  lastMessageAt: number;
   readonly arrivedAt: number;
   /** When the link ended; undefined while it is up. */
   lostAt: number | undefined;
 }
 
 /** The nodes of one home. */
-export interface Roster {
-  add(hello: Hello, channels: Channels): Member;
+export interface NodeTable {
+  add(hello: Hello, channels: Channels): NodeEntry;
   /** A node left by its own will. */
-  remove(member: Member): void;
+  remove(member: NodeEntry): void;
   /** A node's link ended without a word. */
-  lose(member: Member): void;
-  members(): Iterable<Member>;
+  markLost(member: NodeEntry): void;
+  members(): Iterable<NodeEntry>;
   /** Drops nodes that were lost long ago. */
-  forget(): void;
+  removeExpired(): void;
   summarize(home: string, version: number): HomeSummary;
 }
 
 /** Creates an empty roster. */
-export function createRoster(timers: Timers): Roster {
-  const members = new Map<string, Member>();
-  const isPresent = (member: Member) =>
+export function createNodeTable(timers: Timers): NodeTable {
+  const members = new Map<string, NodeEntry>();
+  const isPresent = (member: NodeEntry) =>
     members.get(member.hello.name) === member;
 
   return {
     add(hello, channels) {
-      const member: Member = {
+      const member: NodeEntry = {
         hello,
         channels,
         version: undefined,
-        heardAt: timers.now(),
+        lastMessageAt: timers.now(),
         arrivedAt: timers.now(),
         lostAt: undefined,
       };
@@ -56,11 +56,11 @@
     remove(member) {
       if (isPresent(member)) members.delete(member.hello.name);
     },
-    lose(member) {
+    markLost(member) {
       member.lostAt ??= timers.now();
     },
     members: () => members.values(),
-    forget() {
+    removeExpired() {
       const oldest = timers.now() - fleetLimits.remembered;
       for (const member of members.values()) {
         if (member.lostAt === undefined || member.lostAt > oldest) continue;
@@ -68,7 +68,7 @@
       }
     },
     summarize(home, version) {
-      const domains = new Map<string, Member[]>();
+      const domains = new Map<string, NodeEntry[]>();
       for (const member of members.values()) {
         const {failureDomain} = member.hello;
         const group = domains.get(failureDomain);
@@ -87,7 +87,7 @@
   };
 }
 
-function summarize(failureDomain: string, group: Member[]): DomainSummary {
+function summarize(failureDomain: string, group: NodeEntry[]): DomainSummary {
   const counts = new Map<number, number>();
   const lost: string[] = [];
   let nodes = 0;
@@ -125,7 +125,7 @@
 }
 
 /** Nodes that are here and were elsewhere, the latest first. */
-function findArrivals(members: Iterable<Member>, now: number): Arrival[] {
+function findArrivals(members: Iterable<NodeEntry>, now: number): Arrival[] {
   const arrivals: Arrival[] = [];
   for (const {hello, arrivedAt, lostAt} of members) {
     const age = now - arrivedAt;
@@ -138,8 +138,8 @@
   return arrivals.slice(0, fleetLimits.names);
 }
 
-function findLaggards(members: Iterable<Member>, version: number): string[] {
-  const behind: Member[] = [];
+function findLaggards(members: Iterable<NodeEntry>, version: number): string[] {
+  const behind: NodeEntry[] = [];
   for (const member of members) {
     const isBehind = member.version === undefined || member.version < version;
     if (isBehind || member.lostAt !== undefined) behind.push(member);
--- a/src/node/request-path.ts
+++ b/src/node/request-path.ts
@@ -1,7 +1,7 @@
 /** The listeners of a node: for its callers, and for the entries of others. */
 import {reportAttempt, reportOutcome} from '../admin/report-outcome.js';
 import type {Configuration} from '../configuration/configuration.js';
-import type {Home} from '../distribution/home.js';
+import type {HomeConnection} from '../distribution/home-connection.js';
 import type {EndpointTable} from '../endpoints/endpoint-table.js';
 import type {Membership} from '../endpoints/membership.js';
 import type {Metrics} from '../metrics/metrics.js';
@@ -27,7 +27,7 @@
   readonly metrics: Metrics;
   /** The configuration in force, undefined until one is proved fresh. */
   readonly configuration: () => Configuration | undefined;
-  readonly home: Home;
+  readonly home: HomeConnection;
   readonly table: EndpointTable;
   readonly membership: Membership;
   readonly gate: Gate;
@@ -98,7 +98,7 @@
 }
 
 /** Whether a quorum has confirmed of late that no newer configuration is known. */
-function isConfirmed(home: Home, timers: Timers, freshness: number): boolean {
+function isConfirmed(home: HomeConnection, timers: Timers, freshness: number): boolean {
   const asOf = home.asOf();
   return asOf !== undefined && timers.now() - asOf <= freshness;
 }
--- a/src/relay/distribution-host.ts
+++ b/src/relay/distribution-host.ts
@@ -6,7 +6,7 @@
 import {createDistributor} from '../distribution/distributor.js';
 import type {DistributorOptions} from '../distribution/distributor.js';
 import type {Distributor} from '../distribution/distributor.js';
-import {createMesh} from '../distribution/mesh.js';
+import {createHomeMesh} from '../distribution/home-mesh.js';
 import {createRegistry} from '../endpoints/registry.js';
 import type {Registry} from '../endpoints/registry.js';
 import {createFleet} from '../fleet/fleet.js';
@@ -73,7 +73,7 @@
     timers,
     log,
     position: distributor.position,
-    fellows: () => options.fellows().filter(one => one !== address).length,
+    peerCount: () => options.fellows().filter(one => one !== address).length,
     ...(options.homes !== undefined && {homes: options.homes}),
   });
 
@@ -103,7 +103,7 @@
     channels.onClose(() => links.delete(channels));
     fleet.accept(channels);
   });
-  const mesh = createMesh({
+  const mesh = createHomeMesh({
     network,
     self,
     address,
@@ -113,7 +113,7 @@
     log,
   });
   mesh.onChannels(join);
-  mesh.onReport(fleet.receive);
+  mesh.onReport(fleet.receiveReport);
 
   return {
     distributor,
@@ -121,7 +121,7 @@
     registry,
     evidence,
     join,
-    follow: () => mesh.follow(options.fellows()),
+    follow: () => mesh.setPeers(options.fellows()),
     async stop() {
       mesh.stop();
       distributor.stop();
--- a/src/relay/run.ts
+++ b/src/relay/run.ts
@@ -1,6 +1,6 @@
 /** The relay role: a subscriber to control and a home to nodes. */
 import {createAdmin} from '../admin/create-admin.js';
-import {createHome} from '../distribution/home.js';
+import {createHomeConnection} from '../distribution/home-connection.js';
 import {createSubscriber} from '../distribution/subscriber.js';
 import type {RunningRole} from '../process/role.js';
 import type {Hello} from '../fleet/messages.js';
@@ -26,7 +26,7 @@
     failureDomain: settings.failureDomain,
     region: settings.region,
   };
-  const home = createHome({
+  const home = createHomeConnection({
     network,
     homes: settings.sources,
     self,
@@ -50,7 +50,7 @@
     log,
   });
   home.onChannels(host.join);
-  home.onReport(host.fleet.receive);
+  home.onReport(host.fleet.receiveReport);
   subscriber.onSwitch(({version}) => admin.metrics.inForce(version));
   const adminServer = await admin.listen({
     notReady: () =>
