--- a/src/distribution/admission.ts
+++ b/src/distribution/admission.ts
@@ -1,81 +1,92 @@
 import type {Random} from '../random/random.js';
 import type {Subscription, Timers} from '../time/timers.js';
 
-/** One wish to be brought up to date. */
+/** A request of one subscriber to be brought to the newest state. */
 export interface SyncRequest {
-  /** How far behind it is: Infinity when it serves nothing. */
+  /** Versions that the subscriber is behind; Infinity when it holds none. */
   readonly versionsBehind: number;
-  /** Bytes that it will take. */
+  /** Estimated bytes of the answer. */
   readonly cost: number;
-  /** Called once when it is admitted. */
+  /** Called when the request is admitted. */
   admit(): void;
-  /** Called instead when it should come back after `after` milliseconds. */
+  /**
+   * Called instead of `admit` when the subscriber should ask again after
+   * `after` milliseconds.
+   */
   postpone(after: number): void;
 }
 
-/** A place in the queue, or the note that a sync was told to come back. */
+/** Handle of an offered request, which is either queued or postponed. */
 export interface Ticket {
-  /** Takes the sync out; to be called also when it has come back. */
+  /**
+   * Removes the request from the queue or from the postponed ones. To be called
+   * also when a postponed subscriber asks again.
+   */
   cancel(): void;
 }
 
-/** Admits syncs at a bounded rate. */
+/** Admits request requests index a bounded rate. */
 export interface Admission {
-  offer(sync: SyncRequest): Ticket;
-  /** Syncs that wait now. */
+  offer(request: SyncRequest): Ticket;
+  /** Number of queued requests. */
   waiting(): number;
   stop(): void;
 }
 
-/** Settings of an admission. */
+/** Options of createAdmission. */
 export interface AdmissionOptions {
   readonly timers: Timers;
   readonly random: Random;
-  /** Cost admitted in a second. */
+  /** Cost that is admitted per second. */
   readonly rate: number;
-  /** Added to each sync's cost. */
+  /** Cost that is added to each request. */
   readonly overhead: number;
-  /** Seconds' worth of cost that may wait. */
+  /** Capacity of the queue: the cost that is admitted in this many seconds. */
   readonly maxQueueSeconds: number;
-  /** Milliseconds between admissions while syncs wait. */
+  /** Milliseconds between admissions while requests are queued. */
   readonly period: number;
 }
 
 /**
- * Creates an admission. A herd that returns at once would otherwise fill the
- * links and the loop with states, and an accepted change would wait behind
- * them. Who needs the newest state most goes first (those that serve nothing,
- * then the oldest version); what does not fit into the horizon is told when to
- * come back, spread with full jitter over the time that those away will take.
- * That sum must shrink as they return: counted for good, it spread the herd
- * over up to twice the time that its states needed.
+ * Creates an admission. Many subscribers that reconnect at once would otherwise
+ * fill the links and the event loop with states, and an accepted change would
+ * be queued behind them. Subscribers that hold no state are admitted first,
+ * then those with the oldest version. Requests that exceed the queue are
+ * postponed, with full jitter over the time that all postponed requests will
+ * take. The cost of a postponed request no longer counts once its subscriber
+ * asks again; otherwise the delays would grow to twice the time that the states
+ * need.
  */
 export function createAdmission(options: AdmissionOptions): Admission {
-  const {timers, random, rate, overhead, maxQueueSeconds: horizon, period: tick} = options;
-  const capacity = rate * horizon;
-  const burst = Math.max((rate * tick) / 1000, overhead);
-  const costOf = (sync: SyncRequest) => sync.cost + overhead;
-  const queue = createOrder(costOf);
-  const away = createOrder(costOf);
+  const {timers, random, rate, overhead, maxQueueSeconds, period} = options;
+  const capacity = rate * maxQueueSeconds;
+  const burst = Math.max((rate * period) / 1000, overhead);
+  const costOf = (request: SyncRequest) => request.cost + overhead;
+  const queue = createRequestQueue(costOf);
+  const postponed = createRequestQueue(costOf);
   let tokens = burst;
-  let filled = timers.now();
+  let refilledAt = timers.now();
   let timer: Subscription | undefined;
 
   function refill(): void {
     const now = timers.now();
-    tokens = Math.min(burst, tokens + ((now - filled) / 1000) * rate);
-    filled = now;
+    tokens = Math.min(burst, tokens + ((now - refilledAt) / 1000) * rate);
+    refilledAt = now;
   }
 
-  /** A sync may overdraw the bucket, so that a large one is never starved. */
+  /** A request may overdraw the bucket, so that a large one is not starved. */
   function admitDue(): void {
     refill();
-    for (let sync = queue.first(); sync && tokens > 0; sync = queue.first()) {
-      queue.remove(sync);
-      tokens -= costOf(sync);
-      sync.admit();
+    for (
+      let request = queue.first();
+      request && tokens > 0;
+      request = queue.first()
+    ) {
+      queue.remove(request);
+      tokens -= costOf(request);
+      request.admit();
     }
-    if (queue.size() > 0) timer ??= timers.every(tick, admitDue);
+    if (queue.size() > 0) timer ??= timers.every(period, admitDue);
     else stopTimer();
   }
 
@@ -85,23 +96,23 @@
   }
 
   function postponeLast(): void {
-    const sync = queue.last()!;
-    queue.remove(sync);
-    away.add(sync);
-    const spread = away.cost() / rate;
-    const after = (horizon + random.fraction() * spread) * 1000;
-    sync.postpone(Math.ceil(after));
+    const request = queue.last()!;
+    queue.remove(request);
+    postponed.add(request);
+    const spread = postponed.cost() / rate;
+    const after = (maxQueueSeconds + random.fraction() * spread) * 1000;
+    request.postpone(Math.ceil(after));
   }
 
   return {
-    offer(sync) {
-      queue.add(sync);
+    offer(request) {
+      queue.add(request);
       admitDue();
       while (queue.cost() > capacity && queue.size() > 1) postponeLast();
       return {
         cancel() {
-          queue.remove(sync);
-          away.remove(sync);
+          queue.remove(request);
+          postponed.remove(request);
         },
       };
     },
@@ -110,41 +121,44 @@
   };
 }
 
-/** Syncs in the order in which they are to be admitted. */
-interface Order {
-  add(sync: SyncRequest): void;
-  remove(sync: SyncRequest): void;
+/** Requests in the order in which they are to be admitted. */
+interface RequestQueue {
+  add(request: SyncRequest): void;
+  remove(request: SyncRequest): void;
   first(): SyncRequest | undefined;
   last(): SyncRequest | undefined;
   size(): number;
-  /** The sum of all costs. */
+  /** Sum of all costs. */
   cost(): number;
 }
 
-function createOrder(costOf: (sync: SyncRequest) => number): Order {
-  const syncs: SyncRequest[] = [];
+function createRequestQueue(
+  costOf: (request: SyncRequest) => number,
+): RequestQueue {
+  const requests: SyncRequest[] = [];
   let cost = 0;
   return {
-    add(sync) {
-      let at = syncs.length;
-      while (at > 0 && goesFirst(sync, syncs[at - 1]!)) at--;
-      syncs.splice(at, 0, sync);
-      cost += costOf(sync);
+    add(request) {
+      let index = requests.length;
+      while (index > 0 && precedes(request, requests[index - 1]!)) index--;
+      requests.splice(index, 0, request);
+      cost += costOf(request);
     },
-    remove(sync) {
-      const at = syncs.indexOf(sync);
-      if (at < 0) return;
-      syncs.splice(at, 1);
-      cost -= costOf(sync);
+    remove(request) {
+      const index = requests.indexOf(request);
+      if (index < 0) return;
+      requests.splice(index, 1);
+      cost -= costOf(request);
     },
-    first: () => syncs[0],
-    last: () => syncs[syncs.length - 1],
-    size: () => syncs.length,
+    first: () => requests[0],
+    last: () => requests[requests.length - 1],
+    size: () => requests.length,
     cost: () => cost,
   };
 }
 
-function goesFirst(left: SyncRequest, right: SyncRequest): boolean {
-  if (left.versionsBehind !== right.versionsBehind) return left.versionsBehind > right.versionsBehind;
+function precedes(left: SyncRequest, right: SyncRequest): boolean {
+  if (left.versionsBehind !== right.versionsBehind)
+    return left.versionsBehind > right.versionsBehind;
   return left.cost < right.cost;
 }
--- a/src/distribution/backoff.ts
+++ b/src/distribution/backoff.ts
@@ -1,14 +1,17 @@
 import type {Random} from '../random/random.js';
 
-/** Bounds of a growing delay, in milliseconds. */
+/** Bounds of an exponential delay, in milliseconds. */
 export interface BackoffBounds {
+  /** Upper bound of the first delay. */
   readonly first: number;
+  /** Upper bound of every delay. */
   readonly most: number;
 }
 
 /**
- * A delay with full jitter: uniform from 0 to a bound that doubles with each
- * attempt. A herd that was cut at one moment so spreads over the whole bound.
+ * Returns a delay with full jitter: uniform between 0 and a bound that doubles
+ * with each attempt. Processes that lost their links at the same moment are
+ * thereby spread over the whole bound.
  */
 export function backoffDelay(
   attempt: number,
--- a/src/distribution/batcher.ts
+++ b/src/distribution/batcher.ts
@@ -1,18 +1,22 @@
 import type {Subscription, Timers} from '../time/timers.js';
 
-/** Gathers changes into one push. */
+/** Combines changes into one push. */
 export interface Batcher {
-  /** Tells of a change. */
+  /** Reports a change. */
   notify(): void;
-  /** When the oldest change that was not pushed came; undefined for none. */
+  /**
+   * Local time of the oldest change that has not been pushed; undefined for
+   * none.
+   */
   waitingSince(): number | undefined;
   stop(): void;
 }
 
 /**
- * Creates a batcher: the first change after `window` quiet milliseconds is
- * pushed at once, and those that follow inside the window go out together at
- * its end. Convergence time of a lone change is not spent on saving bytes.
+ * Creates a batcher. A change that follows at least `window` milliseconds
+ * without a push is pushed at once; changes within the window are pushed
+ * together at its end. A single change is therefore not delayed for the sake of
+ * fewer bytes.
  */
 export function createBatcher(
   window: number,
@@ -33,13 +37,13 @@
   return {
     notify() {
       if (timer !== undefined) return;
-      const rest = lastPush + window - timers.now();
-      if (rest <= 0) {
+      const remaining = lastPush + window - timers.now();
+      if (remaining <= 0) {
         flush();
         return;
       }
       since = timers.now();
-      timer = timers.after(rest, flush);
+      timer = timers.after(remaining, flush);
     },
     waitingSince: () => since,
     stop: () => timer?.cancel(),
--- a/src/distribution/candidate-state.ts
+++ b/src/distribution/candidate-state.ts
@@ -9,12 +9,12 @@
 import {storeSection} from './section-source.js';
 import type {StoredSection} from './section-source.js';
 
-/** A section as a subscriber holds it. */
+/** A section that a subscriber holds, packed and unpacked. */
 export interface HeldSection extends StoredSection {
   readonly section: Section;
 }
 
-/** A whole state as a subscriber holds it; never changed in place. */
+/** The state that a subscriber holds; never changed in place. */
 export interface HeldState {
   readonly subscription: number;
   readonly version: number;
@@ -22,16 +22,17 @@
   readonly configuration: Configuration;
 }
 
-/** Test only: checks that keep a bad state out. */
+/** Test only: checks that reject a wrong state. */
 export interface CandidateStateSafeguards {
   readonly digest: boolean;
   readonly references: boolean;
 }
 
 /**
- * Builds the state that a push leads to, beside the one in force. A delta that
- * was lost, cut or made for another base shows as another digest than the
- * push's: the candidate is then dropped whole, so nothing of it was ever seen.
+ * Builds the state that results from a push, without touching the one in force.
+ * If a push was lost, truncated or made for another base, the digest of the
+ * result differs from the one in the push; the candidate is then discarded as a
+ * whole and no part of it becomes visible.
  */
 export function buildCandidateState(
   held: HeldState | undefined,
@@ -41,14 +42,15 @@
 ): Result<HeldState> {
   const {subscription, version} = push;
   if (push.digest === undefined) {
-    return raiseVersion(held, push, safeguards.digest);
+    return replaceVersion(held, push, safeguards.digest);
   }
   const sections = push.whole ? new Map() : selectCovered(held, services);
   for (const name of push.removed ?? []) sections.delete(name);
   for (const packed of push.sections ?? []) {
     const section = unpackSection(packed);
     if (!section.ok) return section;
-    // A copy, as the received bytes are a view that would keep its whole frame.
+    // Copies the bytes, since the received ones are a view that would retain
+    // the whole frame.
     const bytes = new Uint8Array(packed.bytes);
     const stored = storeSection({name: packed.name, bytes});
     sections.set(packed.name, {...stored, section: section.value});
@@ -56,7 +58,7 @@
   if (safeguards.digest && digestHeld(sections) !== push.digest) {
     return failure(
       distributionCodes.digestMismatch,
-      `version ${version} does not have the digest it came with`,
+      `the digest of version ${version} differs from the one in its push`,
     );
   }
   const joined = joinSections(
@@ -73,14 +75,14 @@
   });
 }
 
-/** Digest of what is held of an interest. */
+/** Returns the digest of a set of held sections. */
 export function digestHeld(sections: ReadonlyMap<string, HeldSection>): string {
   const digests: Array<[string, string]> = [];
   for (const [name, {digest}] of sections) digests.push([name, digest]);
   return digestState(digests);
 }
 
-/** The held sections that an interest covers. */
+/** Returns the held sections that an interest covers. */
 export function selectCovered(
   held: HeldState | undefined,
   services: Interest,
@@ -93,10 +95,10 @@
 }
 
 /**
- * A push without sections holds for its base only: after a lost push it would
- * put the new version's number on the old version's sections.
+ * A push without sections applies to its base only. After a lost push it would
+ * otherwise put the number of the new version on the sections of the old one.
  */
-function raiseVersion(
+function replaceVersion(
   held: HeldState | undefined,
   push: Push,
   isChecked: boolean,
@@ -106,7 +108,7 @@
   if (held === undefined || (isChecked && !isBase)) {
     return failure(
       distributionCodes.digestMismatch,
-      `version ${version} came without sections, for another base`,
+      `the push of version ${version} has no sections and another base`,
     );
   }
   const configuration = {...held.configuration, version};
--- a/src/distribution/change-ring.ts
+++ b/src/distribution/change-ring.ts
@@ -1,22 +1,27 @@
 import type {SectionState} from './section-source.js';
 
+/** One transition between states. */
 interface Step {
+  /** The version that the step leads to. */
   readonly to: number;
   readonly names: readonly string[];
 }
 
-/** Which sections changed lately; bounded. */
+/** The sections that changed in recent steps; bounded. */
 export interface ChangeRing {
-  /** Takes the next state; returns the names that changed in this step. */
+  /** Records the next state; returns the names of the sections that changed. */
   advance(state: SectionState): readonly string[];
-  /** Sections changed after `version`, or undefined when it is too old. */
+  /**
+   * Returns the sections changed after `version`, or undefined when it is older
+   * than the ring.
+   */
   since(version: number): ReadonlySet<string> | undefined;
 }
 
-/** Creates a ring that remembers `length` steps. */
+/** Creates a ring that holds the last `length` steps. */
 export function createChangeRing(length: number): ChangeRing {
   let last: SectionState | undefined;
-  /** The oldest version from which a delta can be made. */
+  /** The oldest version from which a delta can be computed. */
   let floor = Number.POSITIVE_INFINITY;
   const steps: Step[] = [];
 
@@ -42,8 +47,8 @@
     since(version) {
       if (version < floor) return undefined;
       const names = new Set<string>();
-      for (let at = steps.length - 1; at >= 0; at--) {
-        const step = steps[at]!;
+      for (let index = steps.length - 1; index >= 0; index--) {
+        const step = steps[index]!;
         if (step.to <= version) break;
         for (const name of step.names) names.add(name);
       }
--- a/src/distribution/codes.ts
+++ b/src/distribution/codes.ts
@@ -1,6 +1,6 @@
 import {defineCode} from '../result/code.js';
 
-/** Results of distribution: 4000 to 4999. */
+/** Result codes of distribution: 4000 to 4999. */
 export const distributionCodes = {
   digestMismatch: defineCode(
     4001,
--- a/src/distribution/confirmation-watch.ts
+++ b/src/distribution/confirmation-watch.ts
@@ -1,8 +1,9 @@
 /**
- * Tells when the configuration of a process has not been confirmed for long. A
- * process that lost sight of the quorum serves its last version in good faith;
- * which part of the way kept newer ones from it shows nowhere else: no link, a
- * home without a fresh mark, or a home with one whose pushes don't come.
+ * Logs when the configuration of a process has not been confirmed for too long.
+ * A process that is cut off from the quorum continues to serve its last
+ * version. The log lines are the only place that shows which part of the path
+ * is at fault: there is no link, the home has no fresh mark, or it has one but
+ * its pushes do not arrive.
  */
 import type {Log} from '../log/log.js';
 import type {Metrics} from '../metrics/metrics.js';
@@ -10,33 +11,38 @@
 import type {HomeConnection} from './home-connection.js';
 import type {Subscriber} from './subscriber.js';
 
-/** What the watch works with; times in milliseconds. */
+/** Options of watchConfirmation; times in milliseconds. */
 export interface ConfirmationWatchOptions {
   readonly home: Pick<HomeConnection, 'asOf' | 'state' | 'address' | 'mark'>;
   readonly subscriber: Pick<Subscriber, 'current' | 'state'>;
   readonly metrics: Pick<Metrics, 'unconfirmed'>;
   readonly timers: Timers;
   readonly log: Log;
-  /** Time between two looks. */
+  /** Time between two checks. */
   readonly period: number;
-  /** Age of the last confirmation that is told, and again when it is twice as old and so on. */
+  /**
+   * Age of the last confirmation that is logged. It is logged again each time
+   * that this much more time has passed.
+   */
   readonly limit: number;
 }
 
-/** Watches from the first confirmation until cancelled. */
+/** Starts to watch; the first confirmation is awaited without a log line. */
 export function watchConfirmation(
   options: ConfirmationWatchOptions,
 ): Subscription {
   const {home, subscriber, metrics, timers, log, limit} = options;
-  /** When the state was last confirmed, while that is told as too long ago. */
-  let toldSince: number | undefined;
-  let toldAt = 0;
+  /**
+   * The last confirmation, while its age is being logged; undefined otherwise.
+   */
+  let loggedAsOf: number | undefined;
+  let loggedAt = 0;
 
-  function tell(asOf: number): void {
+  function logUnconfirmed(asOf: number): void {
     const now = timers.now();
     const mark = home.mark();
-    toldSince = asOf;
-    toldAt = now;
+    loggedAsOf = asOf;
+    loggedAt = now;
     log.warn('configuration not confirmed', {
       age: Math.round(now - asOf),
       version: subscriber.current()?.version,
@@ -48,9 +54,9 @@
     });
   }
 
-  function tellEnd(since: number): void {
+  function logRecovery(since: number): void {
     const duration = timers.now() - since;
-    toldSince = undefined;
+    loggedAsOf = undefined;
     metrics.unconfirmed(duration);
     log.info('configuration confirmed again', {
       duration: Math.round(duration),
@@ -61,9 +67,10 @@
   return timers.every(options.period, () => {
     const asOf = home.asOf();
     if (asOf === undefined) return;
-    const isOld = timers.now() - asOf > limit;
-    const isTold = toldSince !== undefined && timers.now() - toldAt < limit;
-    if (isOld && !isTold) tell(asOf);
-    if (!isOld && toldSince !== undefined) tellEnd(toldSince);
+    const isOverdue = timers.now() - asOf > limit;
+    const isLogged =
+      loggedAsOf !== undefined && timers.now() - loggedAt < limit;
+    if (isOverdue && !isLogged) logUnconfirmed(asOf);
+    if (!isOverdue && loggedAsOf !== undefined) logRecovery(loggedAsOf);
   });
 }
--- a/src/distribution/distributor.ts
+++ b/src/distribution/distributor.ts
@@ -17,57 +17,69 @@
 import {createSyncer} from './syncer.js';
 import type {SyncCounts} from './syncer.js';
 
-/** Settings of a distributor; times in milliseconds. */
+/** Options of createDistributor; times in milliseconds. */
 export interface DistributorOptions {
-  /** The states to hand out; versions must only rise. */
+  /** Source of the states; its versions must only rise. */
   readonly source: SectionSource;
   /**
-   * Confirms with a quorum that the source is as new as all that was accepted
-   * before the call; the source must have reached that by then.
+   * Confirms with a quorum that the source is as new as everything that was
+   * accepted before the call. The source must have that state when the promise
+   * resolves.
    */
   readonly barrier: Barrier;
-  /** Local time at which a quorum last confirmed the source. */
+  /**
+   * Local time at which a quorum last confirmed the source; undefined if never.
+   */
   readonly asOf: () => number | undefined;
   readonly timers: Timers;
   readonly random: Random;
   readonly log: Log;
-  /** How long changes are gathered after one was sent. */
+  /** How long further changes are collected after one was pushed. */
   readonly batchWindow: number;
-  /** States remembered for deltas; default 1024. */
+  /** Number of states that are kept for deltas; default 1024. */
   readonly ringLength?: number;
-  /** Bytes of state handed out in a second; default 16 MiB. */
+  /**
+   * Bytes of state sent per second to subscribers that synchronize; default 16
+   * MiB.
+   */
   readonly syncBytesPerSecond?: number;
-  /** Test only: parts that keep a failure away, all on by default. */
+  /** Test only: protections against failures, all on by default. */
   readonly safeguards?: {
-    /** Syncs are admitted at a bounded rate. */
+    /** Synchronizations are admitted at a bounded rate. */
     readonly admission?: boolean;
-    /** A nonce is answered only when a quorum confirmed the state. */
+    /** A nonce is answered only after a quorum has confirmed the state. */
     readonly proof?: boolean;
   };
 }
 
 /** Counters of a distributor. */
 export interface DistributorCounts extends SyncCounts {
-  /** Quorum rounds that were asked for, each shared by many nonces. */
+  /** Quorum rounds begun; many nonces share one. */
   readonly rounds: number;
   readonly subscribers: number;
 }
 
-/** Hands states to subscribers. */
+/** Sends states and their changes to subscribers. */
 export interface Distributor {
   /** Serves the configuration plane of one link. */
   accept(channels: Channels): void;
-  /** What was sent to all in step, and until when that was the newest. */
+  /**
+   * The version that was last pushed to all synchronized subscribers, and the
+   * time at which it was still confirmed to be the newest.
+   */
   position(): HomePosition;
   counts(): DistributorCounts;
   stop(): void;
 }
 
-/** Creates the source side of distribution, the same in control and relay. */
+/**
+ * Creates the sending side of distribution, which is the same in control
+ * processes and relays.
+ */
 export function createDistributor(options: DistributorOptions): Distributor {
   const {source, timers, random, log} = options;
   const limits = distributionLimits;
-  const isProving = options.safeguards?.proof ?? true;
+  const isProofRequired = options.safeguards?.proof ?? true;
   const sessions = new Set<Session>();
   const view = createStateView(source, options.ringLength ?? limits.ringLength);
   const prover = createProver(
@@ -81,21 +93,24 @@
     bytesPerSecond: options.syncBytesPerSecond ?? limits.syncBytesPerSecond,
     isAdmitting: options.safeguards?.admission ?? true,
   });
-  const held = timers.every(limits.pendingTick, pushHeld);
-  let flushed = view.newest()?.version;
+  const retryTimer = timers.every(limits.heldPushPeriod, retryHeldLinks);
+  let publishedVersion = view.newest()?.version;
 
-  /** Sends the newest state to all in step; those that wait are left out. */
+  /**
+   * Pushes the newest state to all synchronized subscribers; those that wait
+   * for a synchronization are skipped.
+   */
   function flush(): void {
     const state = view.newest();
     if (state === undefined) return;
-    const isFirst = flushed === undefined;
-    flushed = state.version;
-    if (isFirst) offerAll();
+    const isFirstState = publishedVersion === undefined;
+    publishedVersion = state.version;
+    if (isFirstState) offerEarlySubscribers();
     else pushAll(state);
   }
 
-  /** Subscribers that asked before there was a state. */
-  function offerAll(): void {
+  /** Offers the subscribers that asked before there was a state. */
+  function offerEarlySubscribers(): void {
     for (const session of sessions) {
       if (session.subscription !== undefined) syncer.offer(session);
     }
@@ -103,17 +118,20 @@
 
   function pushAll(state: SectionState): void {
     const prepared = new Map<string, Push>();
-    for (const session of sessions) pushTo(session, state, prepared);
+    for (const session of sessions) pushDelta(session, state, prepared);
   }
 
-  /** Subscribers of the same services in step share one prepared push. */
-  function pushTo(
+  /**
+   * Subscribers of the same services at the same version share one prepared
+   * push.
+   */
+  function pushDelta(
     session: Session,
     state: SectionState,
     prepared: Map<string, Push>,
   ): void {
     if (session.sent === undefined || session.sent >= state.version) return;
-    if (session.channels.link.pending > limits.pendingBytes) return;
+    if (session.channels.link.pending > limits.maxPendingBytes) return;
     const key = `${session.sent} ${session.subscription} ${session.key}`;
     const push = prepared.get(key) ?? prepareDelta(session, state);
     if (push === undefined) {
@@ -141,17 +159,21 @@
     return makePush(state, subscription, digest, names, false);
   }
 
-  /** A link that was full for longer than the ring reaches is synced anew. */
+  /**
+   * A link that was full for longer than the change ring covers is synchronized
+   * by comparison.
+   */
   function resync(session: Session): void {
     session.sent = undefined;
     respond(session, {kind: 'differ', subscription: session.subscription!});
   }
 
-  /** Serves links that were full when the last state went out. */
-  function pushHeld(): void {
+  /** Serves the links that were full when the last state was pushed. */
+  function retryHeldLinks(): void {
     syncer.retry();
     const state = view.newest();
-    if (state?.version === flushed && state !== undefined) pushAll(state);
+    if (state?.version === publishedVersion && state !== undefined)
+      pushAll(state);
   }
 
   function subscribe(session: Session, request: Subscribe): void {
@@ -177,7 +199,7 @@
     syncer.offer(session);
   }
 
-  function prove(session: Session, nonce: string, proved: () => void): void {
+  function prove(session: Session, nonce: string, onProved: () => void): void {
     const {subscription} = session;
     prover.prove(result => {
       if (!sessions.has(session)) return;
@@ -187,22 +209,25 @@
         return;
       }
       session.provedNonces.push(nonce);
-      proved();
+      onProved();
     });
   }
 
   function isProved(result: Result<number>): boolean {
-    if (result.ok || !isProving) return true;
+    if (result.ok || !isProofRequired) return true;
     log.warn('no quorum confirmed the state', {code: result.code.number});
     return false;
   }
 
-  /** The state goes first, so that the proof finds it at the subscriber. */
+  /**
+   * Sends the state before the proof, so that the subscriber holds the proved
+   * version when the proof arrives.
+   */
   function proveInStep(session: Session, request: Prove): void {
     prove(session, request.nonce, () => {
       const state = view.newest();
       if (state === undefined || session.sent === undefined) return;
-      pushTo(session, state, new Map());
+      pushDelta(session, state, new Map());
       if (session.sent >= state.version) answerProofs(session, state.version);
     });
   }
@@ -235,11 +260,11 @@
     },
     position() {
       const asOf = options.asOf();
-      const waiting = batcher.waitingSince();
-      const isBehind = asOf !== undefined && waiting !== undefined;
+      const oldestWaiting = batcher.waitingSince();
+      const isChangeWaiting = asOf !== undefined && oldestWaiting !== undefined;
       return {
-        version: flushed,
-        asOf: isBehind ? Math.min(asOf, waiting) : asOf,
+        version: publishedVersion,
+        asOf: isChangeWaiting ? Math.min(asOf, oldestWaiting) : asOf,
       };
     },
     counts: () => ({
@@ -248,7 +273,7 @@
       subscribers: sessions.size,
     }),
     stop() {
-      held.cancel();
+      retryTimer.cancel();
       batcher.stop();
       syncer.stop();
     },
--- a/src/distribution/freshness-mark.ts
+++ b/src/distribution/freshness-mark.ts
@@ -1,21 +1,27 @@
-/** How fresh a home's state is, as it tells in its answer to a ping. */
+/** Freshness of the state of a home, as its answer to a ping reports it. */
 import type {Pong} from '../fleet/messages.js';
 
-/** What a home last told of its state. */
+/** Freshness of the state of a home. */
 export interface FreshnessMark {
-  /** Local time at which the home's state was still confirmed by a quorum. */
+  /**
+   * Local time at which a quorum last confirmed the state of the home;
+   * undefined if never.
+   */
   readonly asOf: number | undefined;
-  /** The version that the home last sent to all. */
+  /** The version that the home last pushed to all subscribers. */
   readonly version: number | undefined;
-  /** Local time at which the ping was sent that it answers. */
+  /** Local time at which the answered ping was sent. */
   readonly askedAt: number;
 }
 
 /**
- * The mark that an answer tells. Its age counts from the ping, so that an
- * answer that was held back never looks fresher than it is.
+ * Returns the mark in an answer. Its age counts from the sending of the ping,
+ * so that a delayed answer does not look fresher than it is.
  */
-export function freshnessMarkOf({age, version}: Pong, sentAt: number): FreshnessMark {
+export function freshnessMarkOf(
+  {age, version}: Pong,
+  sentAt: number,
+): FreshnessMark {
   const asOf = age === undefined ? undefined : sentAt - age;
   return {asOf, version, askedAt: sentAt};
 }
--- a/src/distribution/freshness-marks.ts
+++ b/src/distribution/freshness-marks.ts
@@ -1,86 +1,107 @@
-/** How fresh a home's state and the own one are, learnt from pings. */
+/**
+ * Freshness of the state of the attached home and of the local state, derived
+ * from pings.
+ */
 import type {Ping, Pong} from '../fleet/messages.js';
 import type {Clock} from '../time/clock.js';
 import {freshnessMarkOf} from './freshness-mark.js';
 import type {FreshnessMark} from './freshness-mark.js';
 
-/** The marks of the home that is attached. */
+/** Freshness marks of the attached home and of the local state. */
 export interface FreshnessMarks {
-  /** Forgets what the home before told of itself, for the first mark of another. */
+  /**
+   * Discards what is known of the previous home and starts with the first mark
+   * of another.
+   */
   reset(first: FreshnessMark): void;
-  /** The next ping. */
+  /** Returns the next ping to send. */
   ping(): Ping;
-  /** The mark in the answer to a ping; undefined where none is due. */
+  /**
+   * Returns the mark in an answer; undefined if no ping with its number is
+   * outstanding.
+   */
   receive(pong: Pong): FreshnessMark | undefined;
-  /** Takes a mark for the own state's too, where that is not behind it. */
+  /**
+   * Applies a mark of the home to the local state too, if that is not behind
+   * the home.
+   */
   confirm(mark: FreshnessMark): void;
-  /** `version` is in force here. */
+  /** Records the version that is in force locally. */
   acknowledge(version: number): void;
   /** The last mark of this home; undefined before the first. */
   last(): FreshnessMark | undefined;
-  /** Local time at which the own state was confirmed; undefined before. */
+  /**
+   * Local time at which the local state was last confirmed; undefined before.
+   */
   localAsOf(): number | undefined;
   /**
-   * Whether a home said that its state was confirmed of late. Its own word
-   * counts, as on a slow link each answer looks old by the time that it comes.
+   * Whether the state of a home had been confirmed recently when its ping was
+   * sent. The age that the home reports counts, since on a slow link every
+   * answer would look old on arrival.
    */
   isFresh(mark: FreshnessMark): boolean;
-  /** Whether the own state was confirmed of late. */
+  /** Whether the local state was confirmed recently. */
   isConfirmed(): boolean;
-  /** Whether it has not been for long, or since this home is the present one. */
+  /**
+   * Whether the last confirmation of the local state is overdue; the time
+   * before the present home was attached does not count.
+   */
   isOverdue(): boolean;
   /**
-   * Whether the home itself is at fault for an old state, compared with another
-   * that has just answered: it has not answered a ping that was sent well
-   * before the other's, it says itself that its state is old, or it has sent a
-   * newer version that has not come. Where none holds, what is slow is the own
-   * link or process, and no other home would be heard any sooner.
+   * Whether the attached home is the cause of an outdated local state, compared
+   * with another home that has just answered: it has not answered a ping that
+   * was sent well before the ping of the other, it reports that its own state
+   * is old, or it has published a newer version that has not arrived. If none
+   * of these holds, the local link or process is slow, and another home would
+   * not be reached any faster.
    */
   isWorseThan(other: FreshnessMark): boolean;
 }
 
-/** What marks are judged by; times in milliseconds. */
+/** Options of createFreshnessMarks; times in milliseconds. */
 export interface FreshnessMarksOptions {
   readonly clock: Clock;
   /** Period of pings. */
   readonly heartbeat: number;
-  /** Age of a confirmation at which a home is doubted. */
+  /** Age at which the confirmation of the local state is overdue. */
   readonly overdueAge: number;
 }
 
-/** Creates marks that nothing is known of. */
-export function createFreshnessMarks(options: FreshnessMarksOptions): FreshnessMarks {
-  const {clock, heartbeat, overdueAge: doubtAge} = options;
-  /** When each unanswered ping was sent, by its number. */
+/** Creates marks without any information. */
+export function createFreshnessMarks(
+  options: FreshnessMarksOptions,
+): FreshnessMarks {
+  const {clock, heartbeat, overdueAge} = options;
+  /** Send time of each unanswered ping, by its number. */
   const pings = new Map<number, number>();
   let pingNumber = 0;
   let last: FreshnessMark | undefined;
-  let ownAsOf: number | undefined;
+  let localAsOf: number | undefined;
   let version: number | undefined;
-  let begunAt = clock.now();
-  /** Since when the home has sent what has not come. */
+  let attachedAt = clock.now();
+  /** Since when the home has had a version that has not arrived here. */
   let behindSince: number | undefined;
 
-  const isRecent = (asOf: number) => clock.now() - asOf <= doubtAge;
+  const isRecent = (asOf: number) => clock.now() - asOf <= overdueAge;
 
-  function isSilent(other: FreshnessMark): boolean {
+  function isUnresponsive(other: FreshnessMark): boolean {
     const [unanswered] = pings.values();
     return (
       unanswered !== undefined && unanswered + heartbeat / 2 < other.askedAt
     );
   }
 
-  function tellsFresh({asOf, askedAt}: FreshnessMark): boolean {
-    return asOf !== undefined && askedAt - asOf <= doubtAge;
+  function isFresh({asOf, askedAt}: FreshnessMark): boolean {
+    return asOf !== undefined && askedAt - asOf <= overdueAge;
   }
 
   function isBehind(): boolean {
-    return behindSince !== undefined && clock.now() - behindSince > doubtAge;
+    return behindSince !== undefined && clock.now() - behindSince > overdueAge;
   }
 
   return {
     reset(first) {
-      begunAt = clock.now();
+      attachedAt = clock.now();
       last = first;
       behindSince = undefined;
       pings.clear();
@@ -103,22 +124,23 @@
       return last;
     },
     confirm(mark) {
-      const isInStep = version !== undefined && version >= (mark.version ?? 0);
-      if (isInStep) ownAsOf = mark.asOf ?? ownAsOf;
-      const isMissing = version !== undefined && !isInStep;
-      behindSince = isMissing ? (behindSince ?? clock.now()) : undefined;
+      const isSynchronized =
+        version !== undefined && version >= (mark.version ?? 0);
+      if (isSynchronized) localAsOf = mark.asOf ?? localAsOf;
+      const isHomeAhead = version !== undefined && !isSynchronized;
+      behindSince = isHomeAhead ? (behindSince ?? clock.now()) : undefined;
     },
     acknowledge(next) {
       version = next;
     },
     last: () => last,
-    localAsOf: () => ownAsOf,
-    isFresh: tellsFresh,
-    isConfirmed: () => ownAsOf !== undefined && isRecent(ownAsOf),
-    isOverdue: () => !isRecent(Math.max(ownAsOf ?? begunAt, begunAt)),
+    localAsOf: () => localAsOf,
+    isFresh,
+    isConfirmed: () => localAsOf !== undefined && isRecent(localAsOf),
+    isOverdue: () => !isRecent(Math.max(localAsOf ?? attachedAt, attachedAt)),
     isWorseThan(other) {
-      const isAtFault = last === undefined || !tellsFresh(last) || isBehind();
-      return isAtFault || isSilent(other);
+      const isStale = last === undefined || !isFresh(last) || isBehind();
+      return isStale || isUnresponsive(other);
     },
   };
 }
--- a/src/distribution/freshness-tracker.ts
+++ b/src/distribution/freshness-tracker.ts
@@ -3,18 +3,21 @@
 import {boundBarrier} from './prover.js';
 import type {Barrier} from './prover.js';
 
-/** Knows until when the local state was confirmed by a quorum. */
+/** Tracks when a quorum last confirmed the local state. */
 export interface FreshnessTracker {
   /** Local time of the last confirmation; undefined before the first. */
   asOf(): number | undefined;
   stop(): void;
 }
 
-/** Creates a control process's freshness: one quorum round each `period`. */
+/**
+ * Creates the freshness tracker of a control process, which runs one quorum
+ * round per `period` milliseconds.
+ */
 export function createFreshnessTracker(
   barrier: Barrier,
   timers: Timers,
-  period: number = distributionLimits.freshnessRound,
+  period: number = distributionLimits.freshnessRoundPeriod,
 ): FreshnessTracker {
   const confirm = boundBarrier(
     barrier,
@@ -22,15 +25,15 @@
     distributionLimits.proofTimeout,
   );
   let asOf: number | undefined;
-  let running = false;
+  let isRunning = false;
 
   async function round(): Promise<void> {
-    if (running) return;
-    running = true;
-    const begun = timers.now();
+    if (isRunning) return;
+    isRunning = true;
+    const startedAt = timers.now();
     const result = await confirm();
-    running = false;
-    if (result.ok) asOf = begun;
+    isRunning = false;
+    if (result.ok) asOf = startedAt;
   }
 
   const timer = timers.every(period, () => void round());
--- a/src/distribution/home-connection-options.ts
+++ b/src/distribution/home-connection-options.ts
@@ -1,4 +1,4 @@
-/** What a home is created with, and what follows from it. */
+/** Options of a home connection, and the periods derived from them. */
 import type {Hello, HomeAddress} from '../fleet/messages.js';
 import type {Address, Network} from '../link/link.js';
 import type {Log} from '../log/log.js';
@@ -7,51 +7,58 @@
 import type {BackoffBounds} from './backoff.js';
 import {distributionLimits as limits} from './limits.js';
 
-/** Settings of a home; times in milliseconds. */
+/** Options of createHomeConnection; times in milliseconds. */
 export interface HomeConnectionOptions {
   readonly network: Network;
-  /** Where a link may go; plain addresses count as far away. */
+  /** Homes that may be connected to; plain addresses count as far away. */
   readonly homes: ReadonlyArray<Address | HomeAddress>;
-  /** How this process introduces itself. */
+  /** The hello message of this process. */
   readonly self: Hello;
   readonly timers: Timers;
   readonly random: Random;
   readonly log: Log;
   /** Period of pings; default 1000 for a node, 250 for a relay. */
   readonly heartbeat?: number;
-  /** Age of the last confirmation after which it is not fresh; default 3000. */
+  /**
+   * Age of the last confirmation above which the state is not fresh; default
+   * 3000.
+   */
   readonly freshness?: number;
-  /** Longest delay before a lost link is opened again; default 5000. */
+  /** Maximum delay before a reconnect; default 5000. */
   readonly maxReconnectDelay?: number;
-  /** Test only: parts that keep a failure away, all on by default. */
+  /** Test only: protections against failures, all on by default. */
   readonly safeguards?: {
+    /** A home that does not confirm the state is replaced by another. */
     readonly freshness?: boolean;
+    /** The link to a home that does not answer is closed. */
     readonly silence?: boolean;
   };
 }
 
-/** Periods of a home and its safeguards; times in milliseconds. */
+/** Periods and safeguards of a home connection; times in milliseconds. */
 export interface HomeConnectionPeriods {
   /** Period of pings. */
   readonly heartbeat: number;
-  /** Age of the last confirmation after which it is not fresh. */
+  /** Age of the last confirmation above which the state is not fresh. */
   readonly freshness: number;
-  /** Age of the last confirmation at which other homes are asked. */
+  /** Age of the last confirmation at which other homes are probed. */
   readonly overdueAge: number;
-  /** Delay before a home is sought again. */
+  /** Delay before the next search for a home. */
   readonly reconnectDelay: BackoffBounds;
   readonly safeguards: {readonly freshness: boolean; readonly silence: boolean};
 }
 
-/** Resolves what the options leave out. */
-export function resolveHomePeriods(options: HomeConnectionOptions): HomeConnectionPeriods {
+/** Fills in the defaults of the options. */
+export function resolveHomePeriods(
+  options: HomeConnectionOptions,
+): HomeConnectionPeriods {
   const freshness = options.freshness ?? limits.freshness;
-  const most = options.maxReconnectDelay ?? limits.reconnect.most;
+  const most = options.maxReconnectDelay ?? limits.reconnectDelay.most;
   return {
     heartbeat: options.heartbeat ?? defaultHeartbeat(options.self),
     freshness,
-    overdueAge: freshness * limits.doubt,
-    reconnectDelay: {...limits.reconnect, most},
+    overdueAge: freshness * limits.overdueShare,
+    reconnectDelay: {...limits.reconnectDelay, most},
     safeguards: {freshness: true, silence: true, ...options.safeguards},
   };
 }
@@ -61,7 +68,7 @@
   return limits.relayHeartbeat;
 }
 
-/** A home of the settings; a plain address stands far away. */
+/** Returns a configured home; a plain address has no known locality. */
 export function resolveHomeAddress(home: Address | HomeAddress): HomeAddress {
   return typeof home === 'string' ? {address: home} : home;
 }
--- a/src/distribution/home-mesh.ts
+++ b/src/distribution/home-mesh.ts
@@ -7,31 +7,36 @@
 import {createHomeConnection} from './home-connection.js';
 import type {HomeConnection} from './home-connection.js';
 
-/** Settings of a mesh. */
+/** Options of createHomeMesh. */
 export interface HomeMeshOptions {
   readonly network: Network;
   readonly self: Hello;
-  /** Where this process accepts links. */
+  /** Address at which this process accepts links. */
   readonly address: Address;
-  /** Where fellow homes accept links at first; this one's may be among them. */
+  /**
+   * Initial addresses of the peer homes; that of this process may be among
+   * them.
+   */
   readonly peers: readonly Address[];
   readonly timers: Timers;
   readonly random: Random;
   readonly log: Log;
 }
 
-/** One link between each two homes of a kind. */
+/** Links between the homes of a deployment, one for each pair. */
 export interface HomeMesh {
-  /** Calls `observe` with the channels of each link that was opened here. */
+  /** Calls `observe` with the channels of each link that this process opens. */
   onChannels(observe: (channels: Channels) => void): void;
-  /** Calls `observe` with each report that came over those links. */
+  /** Calls `observe` with each report that arrives over those links. */
   onReport(observe: (report: Report) => void): void;
-  /** Keeps links to these fellow homes from now on, and to no others. */
+  /** Replaces the peer homes; links to others are closed. */
   setPeers(peers: readonly Address[]): void;
   stop(): void;
 }
 
-/** Creates a mesh: of two homes, the one with the lesser address opens. */
+/**
+ * Creates a mesh. Of two homes, the one with the lower address opens the link.
+ */
 export function createHomeMesh(options: HomeMeshOptions): HomeMesh {
   const {address, peers, ...shared} = options;
   const homes = new Map<Address, HomeConnection>();
@@ -40,21 +45,25 @@
   let isStopped = false;
 
   function open(peer: Address): void {
-    const home = createHomeConnection({...shared, homes: [peer], heartbeat: 1000});
+    const home = createHomeConnection({
+      ...shared,
+      homes: [peer],
+      heartbeat: 1000,
+    });
     homes.set(peer, home);
     for (const observe of channelsObservers) home.onChannels(observe);
     for (const observe of reportObservers) home.onReport(observe);
   }
 
-  function follow(list: readonly Address[]): void {
+  function follow(addresses: readonly Address[]): void {
     if (isStopped) return;
-    const wanted = new Set(list.filter(peer => peer > address));
+    const addressesToOpen = new Set(addresses.filter(peer => peer > address));
     for (const [peer, home] of homes) {
-      if (wanted.has(peer)) continue;
+      if (addressesToOpen.has(peer)) continue;
       homes.delete(peer);
       home.stop();
     }
-    for (const peer of wanted) if (!homes.has(peer)) open(peer);
+    for (const peer of addressesToOpen) if (!homes.has(peer)) open(peer);
   }
 
   follow(peers);
--- a/src/distribution/home-probe.ts
+++ b/src/distribution/home-probe.ts
@@ -1,4 +1,6 @@
-/** One home that is asked how fresh it is, before anything depends on it. */
+/**
+ * Probes one home: asks how fresh its state is, before anything depends on it.
+ */
 import type {FleetMessage, HomeAddress} from '../fleet/messages.js';
 import {createChannels} from '../link/channel.js';
 import type {Channels} from '../link/channel.js';
@@ -7,64 +9,66 @@
 import {freshnessMarkOf} from './freshness-mark.js';
 import type {FreshnessMark} from './freshness-mark.js';
 
-/** A home that has answered, on a link that is not used yet. */
+/**
+ * A home that has answered, with a link that is not used for anything else yet.
+ */
 export interface HomeCandidate {
   readonly home: HomeAddress;
-  /** The home's own name; undefined where it did not tell. */
+  /** Name of the home; undefined if its answer has none. */
   readonly name: string | undefined;
   readonly channels: Channels;
   readonly mark: FreshnessMark;
 }
 
-/** What `askCandidate` works with. */
+/** Options of probeHome. */
 export interface HomeProbeOptions {
   readonly home: HomeAddress;
   readonly network: Network;
   readonly timers: Timers;
-  /** Milliseconds that an open link may stay without an answer. */
+  /** How long an open link may remain without an answer, in milliseconds. */
   readonly timeout: number;
   readonly onAnswer: (candidate: HomeCandidate) => void;
   readonly onFailure: (problem: string) => void;
 }
 
-/** A question under way. */
+/** A probe in progress. */
 export interface HomeProbe {
-  /** Ends it without an answer or a failure. */
+  /** Ends the probe; no callback is called. */
   cancel(): void;
 }
 
 /**
- * Opens a link to a home and pings it. A VM that stands still takes connections
- * all the same, so only the answer shows that its process works.
+ * Opens a link to a home and pings it. A VM whose processes are suspended still
+ * accepts connections, so only the answer shows that the home works.
  */
 export function probeHome(options: HomeProbeOptions): HomeProbe {
   const {home, network, timers, timeout} = options;
-  let isOver = false;
+  let isFinished = false;
   let link: Link | undefined;
-  let late: Subscription | undefined;
+  let timeoutTimer: Subscription | undefined;
 
   function end(): void {
-    isOver = true;
-    late?.cancel();
+    isFinished = true;
+    timeoutTimer?.cancel();
   }
 
   function fail(problem: string): void {
-    if (isOver) return;
+    if (isFinished) return;
     end();
     link?.close();
     options.onFailure(problem);
   }
 
-  function ask(opened: Link): void {
-    link = opened;
-    const channels = createChannels(opened);
+  function ping(openedLink: Link): void {
+    link = openedLink;
+    const channels = createChannels(openedLink);
     const fleet = channels.on('fleet');
     const sentAt = timers.now();
-    late = timers.after(timeout, () => fail('no answer in time'));
-    channels.onClose(() => fail('the link ended'));
+    timeoutTimer = timers.after(timeout, () => fail('no answer in time'));
+    channels.onClose(() => fail('the link was closed'));
     fleet.onMessage(body => {
       const message = body as FleetMessage;
-      if (isOver || message.kind !== 'pong') return;
+      if (isFinished || message.kind !== 'pong') return;
       end();
       const mark = freshnessMarkOf(message, sentAt);
       options.onAnswer({home, name: message.home, channels, mark});
@@ -73,9 +77,9 @@
   }
 
   network.connect(home.address).then(
-    opened => {
-      if (isOver) opened.close();
-      else ask(opened);
+    openedLink => {
+      if (isFinished) openedLink.close();
+      else ping(openedLink);
     },
     (error: Error) => fail(error.message),
   );
--- a/src/distribution/home-search.ts
+++ b/src/distribution/home-search.ts
@@ -1,7 +1,7 @@
 /**
- * Looks for a home by asking several beside each other. Asked one after the
- * other, each that is cut off or stands still costs its whole timeout, and the
- * sum is what keeps an accepted change from a node.
+ * Searches for a home by probing several concurrently. Probed one after the
+ * other, each unreachable or suspended home costs its whole timeout, and the
+ * sum of the timeouts delays accepted changes.
  */
 import type {HomeAddress} from '../fleet/messages.js';
 import type {Address, Network} from '../link/link.js';
@@ -11,123 +11,128 @@
 import type {HomeCandidate, HomeProbe} from './home-probe.js';
 import {distributionLimits as limits} from './limits.js';
 
-/** What a search works with. */
+/** Options of createHomeSearch. */
 export interface HomeSearchOptions {
   readonly network: Network;
   readonly timers: Timers;
   readonly log: Log;
-  /** The homes to ask in a round, in this order; empty to leave it out. */
+  /**
+   * The homes to probe in a round, in this order; an empty list skips the
+   * round.
+   */
   readonly homes: () => readonly HomeAddress[];
   /**
-   * Takes the link of a home that answered, or leaves it. `round` counts from 0
-   * since the search began.
+   * Attaches to a home that answered, or returns false to reject it. `round`
+   * counts from 0 since the search started.
    */
   readonly tryAttach: (candidate: HomeCandidate, round: number) => boolean;
-  /** A home has no connection or no answer. */
+  /** Called when a home can not be connected to or does not answer. */
   readonly onFailure: (home: HomeAddress) => void;
-  /** Milliseconds until the next round; undefined to end the search. */
+  /**
+   * Returns the milliseconds until the next round; undefined to end the search.
+   */
   readonly nextRoundDelay: () => number | undefined;
 }
 
 /** A search for a home. */
 export interface HomeSearch {
   /**
-   * Begins a round after `delay` milliseconds. Of one under way the answers still
-   * count; which homes are left to ask is decided anew.
+   * Starts a round after `delay` milliseconds. Probes that are in progress
+   * still count; the homes to probe next are determined anew.
    */
   start(delay: number): void;
-  /** Whether a round is under way or due. */
+  /** Whether a round is running or scheduled. */
   isActive(): boolean;
-  /** Ends it, with all questions under way. */
+  /** Ends the search and cancels its probes. */
   stop(): void;
 }
 
-/** Creates a search that asks nobody yet. */
+/** Creates a search that has not started. */
 export function createHomeSearch(options: HomeSearchOptions): HomeSearch {
   const {network, timers, log} = options;
-  const underWay = new Map<Address, HomeProbe>();
+  const probes = new Map<Address, HomeProbe>();
   let queue: HomeAddress[] = [];
   let round = 0;
-  let isAsking = false;
+  let isRoundRunning = false;
   let timer: Subscription | undefined;
 
-  function end(): void {
+  function stop(): void {
     timer?.cancel();
     timer = undefined;
-    for (const question of underWay.values()) question.cancel();
-    underWay.clear();
+    for (const probe of probes.values()) probe.cancel();
+    probes.clear();
     queue = [];
-    isAsking = false;
+    isRoundRunning = false;
     round = 0;
   }
 
-  function beginRound(): void {
-    isAsking = true;
-    queue = options.homes().filter(({address}) => !underWay.has(address));
-    askNext();
+  function startRound(): void {
+    isRoundRunning = true;
+    queue = options.homes().filter(({address}) => !probes.has(address));
+    probeNext();
   }
 
-  /** Asks one more home, and after a while another beside it. */
-  function askNext(): void {
+  /** Probes one more home, and after a delay another one concurrently. */
+  function probeNext(): void {
     timer?.cancel();
     timer = undefined;
-    if (underWay.size >= limits.askedAtOnce) return;
+    if (probes.size >= limits.maxConcurrentProbes) return;
     const home = queue.shift();
     if (home !== undefined) {
-      ask(home);
-      timer = timers.after(limits.askPatience, askNext);
-    } else if (underWay.size === 0) {
+      startProbe(home);
+      timer = timers.after(limits.nextProbeDelay, probeNext);
+    } else if (probes.size === 0) {
       endRound();
     }
   }
 
   function endRound(): void {
-    isAsking = false;
+    isRoundRunning = false;
     const delay = options.nextRoundDelay();
     if (delay === undefined) {
-      end();
+      stop();
       return;
     }
     round++;
-    timer = timers.after(delay, beginRound);
+    timer = timers.after(delay, startRound);
   }
 
-  function ask(home: HomeAddress): void {
-    const question = probeHome({
+  function startProbe(home: HomeAddress): void {
+    const probe = probeHome({
       home,
       network,
       timers,
       timeout: limits.answerTimeout,
       onAnswer(candidate) {
-        underWay.delete(home.address);
+        probes.delete(home.address);
         receive(candidate);
       },
       onFailure(problem) {
         log.debug('no answer of home', {home: home.address, problem});
-        underWay.delete(home.address);
+        probes.delete(home.address);
         options.onFailure(home);
-        askNext();
+        probeNext();
       },
     });
-    underWay.set(home.address, question);
+    probes.set(home.address, probe);
   }
 
   function receive(candidate: HomeCandidate): void {
     if (options.tryAttach(candidate, round)) {
-      end();
+      stop();
       return;
     }
     candidate.channels.link.close();
-    askNext();
+    probeNext();
   }
 
   return {
     start(delay) {
       round = 0;
       timer?.cancel();
-      timer = timers.after(delay, beginRound);
+      timer = timers.after(delay, startRound);
     },
-    isActive: () => isAsking || timer !== undefined,
-    stop: end,
+    isActive: () => isRoundRunning || timer !== undefined,
+    stop,
   };
 }
--- a/src/distribution/home-selector.ts
+++ b/src/distribution/home-selector.ts
@@ -1,4 +1,4 @@
-/** Which of its homes a process tries next. */
+/** Selects the home that a process tries next. */
 import type {HomeAddress} from '../fleet/messages.js';
 import type {Address} from '../link/link.js';
 import type {Random} from '../random/random.js';
@@ -8,7 +8,7 @@
 import {distributionLimits as limits} from './limits.js';
 import type {Locality} from './rendezvous.js';
 
-/** Options of `createHomeChoice`. */
+/** Options of createHomeSelector. */
 export interface HomeSelectorOptions {
   readonly self: Locality;
   readonly homes: readonly HomeAddress[];
@@ -16,56 +16,71 @@
   readonly random: Random;
 }
 
-/** The homes of a process, and those under suspicion. */
+/**
+ * The homes of a process in order of preference, with a failure suspicion for
+ * each.
+ */
 export interface HomeSelector extends Pick<KnownHomes, 'configure' | 'learn'> {
-  /** The homes without suspicion, the nearest first. */
+  /** Homes that are not suspected, nearest first. */
   trusted(): HomeAddress[];
-  /** All homes: those without suspicion, then those longest out of it. */
+  /**
+   * All homes: those not suspected, nearest first, then the suspected ones,
+   * whose suspicion ends soonest first.
+   */
   ordered(): HomeAddress[];
   isNearer(home: HomeAddress, than: HomeAddress): boolean;
-  /** A home failed; it is tried after all others for a while. */
+  /** Records a failure of a home; for a while it is tried after all others. */
   suspect(home: HomeAddress): void;
-  /** A home was left since it did not confirm the own state. */
+  /**
+   * Records that a home was left because it did not confirm the local state.
+   */
   countStale(): void;
-  /** A home has confirmed the own state. */
+  /** Records that a home has confirmed the local state. */
   trust(home: HomeAddress): void;
 }
 
-/** Creates a choice that suspects none of its homes. */
+/** Creates a selector without suspected homes. */
 export function createHomeSelector(options: HomeSelectorOptions): HomeSelector {
   const {clock, random} = options;
-  const known = createKnownHomes(options.self, options.homes);
-  const suspectUntil = new Map<Address, number>();
-  /** Homes left in a row since they did not confirm the own state. */
-  let oldMarks = 0;
+  const knownHomes = createKnownHomes(options.self, options.homes);
+  const suspicionEnds = new Map<Address, number>();
+  /**
+   * Number of homes left in a row because they did not confirm the local state.
+   */
+  let staleHomes = 0;
 
-  const until = (home: HomeAddress) => suspectUntil.get(home.address) ?? 0;
-  const isSuspect = (home: HomeAddress) => until(home) > clock.now();
-  const trusted = () => known.list().filter(home => !isSuspect(home));
+  const suspectedUntil = (home: HomeAddress) =>
+    suspicionEnds.get(home.address) ?? 0;
+  const isSuspected = (home: HomeAddress) => suspectedUntil(home) > clock.now();
+  const trusted = () => knownHomes.list().filter(home => !isSuspected(home));
 
   return {
-    configure: known.configure,
-    learn: known.learn,
+    configure: knownHomes.configure,
+    learn: knownHomes.learn,
     trusted,
     ordered() {
-      const suspects = known.list().filter(isSuspect);
-      suspects.sort((left, right) => until(left) - until(right));
+      const suspects = knownHomes.list().filter(isSuspected);
+      suspects.sort(
+        (left, right) => suspectedUntil(left) - suspectedUntil(right),
+      );
       return [...trusted(), ...suspects];
     },
-    isNearer: (home, than) => known.rankOf(home) < known.rankOf(than),
+    isNearer: (home, than) => knownHomes.rankOf(home) < knownHomes.rankOf(than),
     /**
-     * Grows while no home confirms the own state, as for a node that can't read
-     * what it is sent: going round its homes would only load them.
+     * The suspicion grows longer while no home confirms the local state, as
+     * with a node that can not read what it receives: trying all homes in turn
+     * would only load them.
      */
     suspect(home) {
-      const doubled = 2 ** Math.min(oldMarks, limits.suspicionDoublings);
-      const duration = limits.suspicion * doubled * (0.5 + random.fraction());
-      suspectUntil.set(home.address, clock.now() + duration);
+      const factor = 2 ** Math.min(staleHomes, limits.maxSuspicionDoublings);
+      const duration =
+        limits.suspicionPeriod * factor * (0.5 + random.fraction());
+      suspicionEnds.set(home.address, clock.now() + duration);
     },
-    countStale: () => void oldMarks++,
+    countStale: () => void staleHomes++,
     trust(home) {
-      oldMarks = 0;
-      suspectUntil.delete(home.address);
+      staleHomes = 0;
+      suspicionEnds.delete(home.address);
     },
   };
 }
--- a/src/distribution/limits.ts
+++ b/src/distribution/limits.ts
@@ -1,55 +1,78 @@
 /** Bounds and periods of distribution; times in milliseconds. */
 export const distributionLimits = {
-  /** Period of a node's pings; the freshness mark rides on their answers. */
+  /** Period of the pings of a node; their answers carry the freshness mark. */
   nodeHeartbeat: 1000,
-  /** Period of a relay's pings, short as its nodes' marks build on its own. */
+  /**
+   * Period of the pings of a relay; short, since the marks of its nodes depend
+   * on its own.
+   */
   relayHeartbeat: 250,
-  /** Period of the quorum rounds that renew control's freshness mark. */
-  freshnessRound: 250,
-  /** Age of a confirmation after which it no longer counts as fresh. */
+  /**
+   * Period of the quorum rounds that renew the freshness mark of a control
+   * process.
+   */
+  freshnessRoundPeriod: 250,
+  /** Age above which a confirmation is no longer fresh. */
   freshness: 3000,
   /**
-   * Share of that age at which other homes are asked. More than two pings and a
-   * quorum round apart, so that a home that answers is not doubted.
+   * Fraction of `freshness` after which a confirmation is overdue and other
+   * homes are probed. The resulting age is more than two ping periods and a
+   * quorum round, so that a home that answers is not overdue.
    */
-  doubt: 2 / 3,
-  /** Time after which another home is asked beside one that has not answered. */
-  askPatience: 250,
-  /** How long an open link may stay without an answer. */
+  overdueShare: 2 / 3,
+  /**
+   * Delay until another home is probed concurrently with one that has not
+   * answered.
+   */
+  nextProbeDelay: 250,
+  /** How long an open link may remain without an answer. */
   answerTimeout: 2000,
-  /** Homes asked at once: one more than may be lost together. */
-  askedAtOnce: 3,
-  /** Pause between rounds while the present home is doubted and none is better. */
-  doubtPause: {first: 1000, most: 10_000},
-  /**
-   * How long a home may say nothing before its link is given up. Others are
-   * asked long before; on a full link what it said may still be on its way.
-   */
-  silence: 3000,
-  /** How long a home that failed is tried after all others. */
-  suspicion: 10_000,
-  /** How often that time may double while no home shows a fresh mark. */
-  suspicionDoublings: 5,
-  /** Period, jittered, after which a process looks for a nearer home again. */
-  returnPeriod: 30_000,
-  /** Delay before a lost link is opened again. */
-  reconnect: {first: 200, most: 5000},
-  /** How long a nonce may stay without an answer. */
+  /** Homes probed concurrently: one more than may fail together. */
+  maxConcurrentProbes: 3,
+  /**
+   * Delay between search rounds while the confirmation is overdue and no home
+   * is better.
+   */
+  overdueSearchDelay: {first: 1000, most: 10_000},
+  /**
+   * How long a home may be silent before its link is closed. Other homes are
+   * probed long before that; on a full link the messages of the home may still
+   * be in transit.
+   */
+  silenceTimeout: 3000,
+  /** How long a failed home is tried after all others. */
+  suspicionPeriod: 10_000,
+  /**
+   * How many times the suspicion period may double while no home has a fresh
+   * mark.
+   */
+  maxSuspicionDoublings: 5,
+  /** Period, with jitter, after which a process searches for a nearer home. */
+  nearerSearchPeriod: 30_000,
+  /** Delay before a reconnect after a lost link. */
+  reconnectDelay: {first: 200, most: 5000},
+  /** How long a nonce may remain unanswered. */
   proofTimeout: 2000,
-  /** How long a request for differing sections may stay without an answer. */
+  /** How long a request for differing sections may remain unanswered. */
   compareTimeout: 2000,
-  /** States remembered for deltas. */
+  /** Number of states that are kept for deltas. */
   ringLength: 1024,
-  /** Bytes of state that may be handed out in a second. */
+  /** Bytes of state sent per second. */
   syncBytesPerSecond: 16 * 1024 * 1024,
-  /** Bytes that a sync counts for besides its own, for its processor time. */
-  syncOverhead: 8 * 1024,
-  /** Seconds' worth of syncs that may wait; the rest are told to come back. */
-  syncHorizon: 1,
-  /** Period in which waiting syncs are admitted. */
-  syncTick: 20,
-  /** Bytes not yet taken by a link above which its pushes are held. */
-  pendingBytes: 1024 * 1024,
-  /** Period in which held pushes are tried again. */
-  pendingTick: 100,
+  /**
+   * Bytes that are added to the cost of each synchronization, for its processor
+   * time.
+   */
+  syncOverheadBytes: 8 * 1024,
+  /**
+   * Capacity of the queue of synchronizations, in seconds of the above rate;
+   * the rest are postponed.
+   */
+  maxSyncQueueSeconds: 1,
+  /** Period of the admission of queued synchronizations. */
+  syncAdmissionPeriod: 20,
+  /** Unsent bytes of a link above which its pushes are held back. */
+  maxPendingBytes: 1024 * 1024,
+  /** Period of the retries of pushes that were held back. */
+  heldPushPeriod: 100,
 } as const;
--- a/src/distribution/messages.ts
+++ b/src/distribution/messages.ts
@@ -7,113 +7,134 @@
 } from '../configuration/configuration.js';
 
 /**
- * The messages of the configuration plane, and the unit that they carry. A
+ * The messages of the configuration plane and the unit that they carry. A
  * version is the log index of the last change; times are in milliseconds.
  */
 
-/** A service with the items that speak of it, or a part of these. */
+/** A service with the items that belong to it, or one part of these. */
 export interface Section {
   readonly service: Service;
   readonly routes: readonly Route[];
   readonly policies: readonly Policy[];
   readonly drains: readonly Drain[];
-  /** Absent where there are none. */
+  /** Absent if there are none. */
   readonly quarantines?: readonly Quarantine[];
 }
 
-/** A section as it travels: packed once by the source, never packed again. */
+/**
+ * A section in wire format; the source packs it once, and relays forward the
+ * same bytes.
+ */
 export interface PackedSection {
   /** See `section-name.ts`. */
   readonly name: string;
-  /** A `Section` in MessagePack, keys and items in order, deflated when large. */
+  /**
+   * A `Section` in MessagePack with sorted keys and items, deflated when large.
+   */
   readonly bytes: Uint8Array;
 }
 
-/** The services whose sections a subscriber wants. */
+/** The services whose sections a subscriber receives. */
 export type Interest = 'all' | readonly string[];
 
-/** Asks for a state and for each later one. */
+/** Requests a state and all later ones. */
 export interface Subscribe {
   readonly kind: 'subscribe';
-  /** Rises with each interest of one subscriber; answers carry it back. */
+  /**
+   * Increases whenever the subscriber changes its interest; responses repeat
+   * it.
+   */
   readonly subscription: number;
   readonly services: Interest;
-  /** The version held; absent when nothing is. */
+  /** The version held; absent if none. */
   readonly version?: number;
-  /** Digest of what is held of `services`. */
+  /** Digest of the held sections of `services`. */
   readonly digest?: string;
-  /** Whether all of `services` is held, as of `version`. */
+  /** Whether the held sections are all of `services`, as of `version`. */
   readonly complete: boolean;
-  /** Set by a subscriber that may not serve before its state is proved fresh. */
+  /**
+   * Set by a subscriber that must not serve before its state is proved fresh.
+   */
   readonly nonce?: string;
 }
 
-/** The digest of one section, by its name. */
+/** The name and digest of one section. */
 export interface SectionDigest {
   readonly name: string;
   readonly digest: string;
 }
 
-/** Tells what is held section by section, to get only what differs. */
+/**
+ * Lists the digests of all held sections, so that only differing ones are sent.
+ */
 export interface Compare {
   readonly kind: 'compare';
   readonly subscription: number;
   readonly version: number;
-  /** Digest of each section held. */
+  /** Digest of each held section. */
   readonly digests: readonly SectionDigest[];
 }
 
-/** Asks for a proof that the state sent is as new as any accepted so far. */
+/** Requests a proof that the sent state is as new as any accepted so far. */
 export interface Prove {
   readonly kind: 'prove';
   readonly nonce: string;
 }
 
-/** What a subscriber sends to its distributor. */
+/** Messages from a subscriber to its distributor. */
 export type Request = Subscribe | Compare | Prove;
 
-/** One atomic step to a newer state: delta, differing sections or snapshot. */
+/**
+ * One atomic transition to a newer state: a delta, the differing sections or a
+ * snapshot.
+ */
 export interface Push {
   readonly kind: 'push';
   readonly subscription: number;
   readonly version: number;
-  /** Absent when no section of the subscription changed. */
+  /** Absent if no section of the subscription changed. */
   readonly sections?: readonly PackedSection[];
   readonly removed?: readonly string[];
-  /** True when `sections` is the whole state and replaces what was held. */
+  /** True if `sections` is the whole state and replaces everything held. */
   readonly whole?: boolean;
-  /** Digest of the resulting state; absent when no section changed. */
+  /** Digest of the resulting state; absent if no section changed. */
   readonly digest?: string;
-  /** In place of a digest, the version whose sections are still the same. */
+  /** Replaces the digest: the version whose sections are unchanged. */
   readonly base?: number;
 }
 
-/** Asks the subscriber for a `Compare`. */
+/** Requests a `Compare` from the subscriber. */
 export interface ComparisonRequest {
   readonly kind: 'differ';
   readonly subscription: number;
 }
 
-/** Tells a subscriber to ask again, since syncs are admitted at a bounded rate. */
+/**
+ * Instructs a subscriber to repeat its request later, since synchronizations
+ * are admitted at a bounded rate.
+ */
 export interface Postponement {
   readonly kind: 'later';
   readonly subscription: number;
-  /** Milliseconds to wait, jitter included. */
+  /** Milliseconds to wait, including jitter. */
   readonly after: number;
 }
 
-/** Answers a nonce: a quorum confirmed `version` after the nonce was made. */
+/**
+ * Answers a nonce: a quorum confirmed `version` after the nonce was created.
+ */
 export interface Proof {
   readonly kind: 'proof';
   readonly nonce: string;
   readonly version: number;
 }
 
-/** Tells that no quorum answered for a nonce. */
+/** Reports that no quorum confirmed the state for a nonce. */
 export interface Unproved {
   readonly kind: 'unproved';
   readonly nonce: string;
 }
 
-/** What a distributor sends to a subscriber. */
-export type Response = Push | ComparisonRequest | Postponement | Proof | Unproved;
+/** Messages from a distributor to a subscriber. */
+export type Response =
+  Push | ComparisonRequest | Postponement | Proof | Unproved;
--- a/src/distribution/proof-requests.ts
+++ b/src/distribution/proof-requests.ts
@@ -6,22 +6,28 @@
 
 const nonceBytes = 12;
 
-/** Makes a nonce: random, so that no answer made for another life matches it. */
+/**
+ * Returns a nonce. It is random, so that no answer that was meant for an
+ * earlier incarnation matches it.
+ */
 export function makeNonce(): string {
   return randomBytes(nonceBytes).toString('base64url');
 }
 
-/** Requests for a proof that wait for their answer. */
+/** Requests for proofs that wait for their answers. */
 export interface ProofRequests {
-  /** Sends one nonce; resolves with the proved version. */
+  /** Sends a nonce; resolves with the proved version. */
   request(send: (nonce: string) => void): Promise<Result<number>>;
-  /** Takes the answer to a nonce; undefined when no quorum answered. */
+  /**
+   * Handles the answer to a nonce; `version` is undefined if no quorum
+   * confirmed the state.
+   */
   answer(nonce: string, version: number | undefined): void;
-  /** Fails all that wait. */
+  /** Fails all waiting requests. */
   failAll(problem: string): void;
 }
 
-/** Creates requests that wait `timeout` milliseconds at most. */
+/** Creates a set of requests that each wait at most `timeout` milliseconds. */
 export function createProofRequests(
   timers: Timers,
   timeout: number,
@@ -29,9 +35,9 @@
   const waiting = new Map<string, (result: Result<number>) => void>();
 
   function settle(nonce: string, result: Result<number>): void {
-    const done = waiting.get(nonce);
+    const resolveRequest = waiting.get(nonce);
     waiting.delete(nonce);
-    done?.(result);
+    resolveRequest?.(result);
   }
 
   const noProof = (problem: string) =>
@@ -55,7 +61,7 @@
       const isProved = version !== undefined;
       const result = isProved
         ? success(version)
-        : noProof('no quorum answered the home');
+        : noProof('no quorum confirmed the state of the home');
       settle(nonce, result);
     },
     failAll(problem) {
--- a/src/distribution/prover.ts
+++ b/src/distribution/prover.ts
@@ -3,57 +3,63 @@
 import type {Timers} from '../time/timers.js';
 import {distributionCodes} from './codes.js';
 
-/** Confirms with a quorum that the local state is as new as any accepted. */
+/**
+ * Confirms with a quorum that the local state is as new as any accepted;
+ * resolves with its version.
+ */
 export type Barrier = () => Promise<Result<number>>;
 
-/** Shares quorum rounds between nonces. */
+/** Confirms nonces by quorum rounds, each shared by many. */
 export interface Prover {
-  /** Calls `done` after a round that began no earlier than now. */
+  /**
+   * Calls `done` with the result of a round that starts no earlier than now.
+   */
   prove(done: (result: Result<number>) => void): void;
-  /** Rounds begun so far. */
+  /** Number of rounds started. */
   rounds(): number;
 }
 
 /**
- * Creates a prover. A nonce may only be answered by a round that began after
- * it came: an earlier round could have missed a change that the asking node
- * has seen in its former life. So nonces that come during a round share the
- * next one, and a herd's return costs two rounds at a time, not one each.
+ * Creates a prover. A nonce may only be answered by a round that starts after
+ * its arrival: an earlier round may miss a change that the requesting node
+ * already served before its restart. Nonces that arrive during a round share
+ * the next one, so the return of many nodes costs two rounds at a time instead
+ * of one for each.
  */
 export function createProver(barrier: Barrier): Prover {
   let waiting: Array<(result: Result<number>) => void> = [];
-  let running = false;
+  let isRunning = false;
   let rounds = 0;
 
   async function run(): Promise<void> {
-    running = true;
+    isRunning = true;
     try {
       while (waiting.length > 0) await runRound();
     } finally {
-      running = false;
+      isRunning = false;
     }
   }
 
   async function runRound(): Promise<void> {
-    const sharing = waiting;
+    const callbacks = waiting;
     waiting = [];
     rounds++;
     const result = await barrier();
-    for (const done of sharing) done(result);
+    for (const done of callbacks) done(result);
   }
 
   return {
     prove(done) {
       waiting.push(done);
-      if (!running) void run();
+      if (!isRunning) void run();
     },
     rounds: () => rounds,
   };
 }
 
 /**
- * Bounds a barrier by time: a round that hangs with a cut link would keep all
- * later nonces waiting, also after the link is back.
+ * Adds a timeout to a barrier. A round that hangs on an interrupted link would
+ * otherwise block all later nonces, even after the link is restored.
  */
 export function boundBarrier(
   barrier: Barrier,
@@ -64,7 +70,9 @@
     new Promise(resolve => {
       const fail = (problem: string) =>
         resolve(failure(distributionCodes.noProof, problem));
-      const timer = timers.after(timeout, () => fail('no quorum in time'));
+      const timer = timers.after(timeout, () =>
+        fail('no quorum answered in time'),
+      );
       barrier().then(
         result => {
           timer.cancel();
--- a/src/distribution/rendezvous.ts
+++ b/src/distribution/rendezvous.ts
@@ -1,7 +1,7 @@
 import murmurhash from 'murmurhash';
 import type {HomeAddress} from '../fleet/messages.js';
 
-/** Where a process stands, to find what is near. */
+/** The location of a process, for finding nearby homes. */
 export interface Locality {
   readonly name: string;
   readonly failureDomain: string;
@@ -9,18 +9,19 @@
 }
 
 /**
- * Orders homes for one process: own failure domain, own region, the rest;
- * inside each by rendezvous hash. When a home is lost its nodes spread evenly
- * over those that are left, and no other node moves.
+ * Orders homes for one process: those of its failure domain, then those of its
+ * region, then the others; each group by rendezvous hashing. When a home is
+ * lost, its nodes spread evenly over the remaining homes and no other node
+ * moves.
  */
 export function rankHomes(
-  place: Locality,
+  locality: Locality,
   homes: readonly HomeAddress[],
 ): HomeAddress[] {
   const scored = homes.map(home => ({
     home,
-    distance: distanceTo(place, home),
-    score: murmurhash.v3(`${place.name} ${home.address}`),
+    distance: distanceTo(locality, home),
+    score: murmurhash.v3(`${locality.name} ${home.address}`),
   }));
   scored.sort(
     (left, right) => left.distance - right.distance || right.score - left.score,
@@ -28,8 +29,8 @@
   return scored.map(entry => entry.home);
 }
 
-function distanceTo(place: Locality, home: HomeAddress): number {
-  if (home.failureDomain === place.failureDomain) return 0;
-  if (home.region === place.region) return 1;
+function distanceTo(locality: Locality, home: HomeAddress): number {
+  if (home.failureDomain === locality.failureDomain) return 0;
+  if (home.region === locality.region) return 1;
   return 2;
 }
--- a/src/distribution/section-name.ts
+++ b/src/distribution/section-name.ts
@@ -1,23 +1,27 @@
 /**
- * Names of sections. A service of few routes is one section and has its name; a
- * service of many is cut into parts, and each part but the first adds its number.
+ * Names of sections. A service with few routes is one section, named after the
+ * service. A service with many routes is divided into parts; each part except
+ * the first appends its number to the name.
  */
 
-/** Stands in no service's name. */
+/** Does not occur in names of services. */
 const separator = '/';
 
-/** The name of a service's part. */
+/** Returns the name of one part of a service. */
 export function sectionName(service: string, part: number): string {
   return part === 0 ? service : `${service}${separator}${part}`;
 }
 
-/** The service that a section is of. */
+/** Returns the service of a section. */
 export function serviceOf(name: string): string {
   const end = name.indexOf(separator);
   return end < 0 ? name : name.slice(0, end);
 }
 
-/** The sections of one service in a whole state, whose parts have no gap. */
+/**
+ * Yields the sections of one service in a whole state, in which the part
+ * numbers have no gap.
+ */
 export function* sectionsOfService<T>(
   sections: ReadonlyMap<string, T>,
   service: string,
--- a/src/distribution/section-source.ts
+++ b/src/distribution/section-source.ts
@@ -10,13 +10,13 @@
   readonly digest: string;
 }
 
-/** A whole state as sections; never changed in place. */
+/** A whole state, divided into sections; never changed in place. */
 export interface SectionState {
   readonly version: number;
   readonly sections: ReadonlyMap<string, StoredSection>;
 }
 
-/** Where a distributor gets the states that it hands out. */
+/** Source of the states that a distributor sends. */
 export interface SectionSource {
   /** The newest state, or undefined before the first. */
   current(): SectionState | undefined;
@@ -24,36 +24,39 @@
   onChange(observe: () => void): void;
 }
 
-/** A configuration that changes, as the control group's machine has it. */
+/** A changing configuration, as in the state machine of the control group. */
 export interface ConfigurationSource {
   current(): Configuration;
   onChange(observe: () => void): void;
 }
 
-/** Packs a section and takes its digest. */
+/** Returns a packed section with its digest. */
 export function storeSection(packed: PackedSection): StoredSection {
   return {packed, digest: digestBytesOf(packed.bytes)};
 }
 
-/** Sees a configuration as sections, packing only those that changed. */
+/**
+ * Creates a source that divides a configuration into sections and packs only
+ * those that changed.
+ */
 export function createSectionSource(
   configurations: ConfigurationSource,
 ): SectionSource {
-  let seen: Configuration | undefined;
-  let split = new Map<string, Section>();
+  let splitConfiguration: Configuration | undefined;
+  let sectionsByName = new Map<string, Section>();
   let state: SectionState | undefined;
 
   function refresh(configuration: Configuration): SectionState {
     const next = splitSections(configuration);
     const sections = new Map<string, StoredSection>();
     for (const [name, section] of next) {
-      const before = split.get(name);
-      const kept = before !== undefined && isSame(before, section);
-      const stored = kept ? state?.sections.get(name) : undefined;
+      const before = sectionsByName.get(name);
+      const isUnchanged = before !== undefined && isSame(before, section);
+      const stored = isUnchanged ? state?.sections.get(name) : undefined;
       sections.set(name, stored ?? storeSection(packSection(name, section)));
     }
-    split = next;
-    seen = configuration;
+    sectionsByName = next;
+    splitConfiguration = configuration;
     state = {version: configuration.version, sections};
     return state;
   }
@@ -61,7 +64,7 @@
   return {
     current() {
       const configuration = configurations.current();
-      if (configuration === seen) return state;
+      if (configuration === splitConfiguration) return state;
       return refresh(configuration);
     },
     onChange: observe => configurations.onChange(() => observe()),
@@ -69,10 +72,11 @@
 }
 
 /**
- * Has changes told in a turn of their own. Packing the sections of a first
- * configuration takes about as long as applying it; in one turn, both together
- * stand a small VM still for longer than an election timeout, and its group
- * elects another leader with the same work before it.
+ * Reports changes in a separate turn of the event loop. Packing the sections of
+ * a first configuration takes about as long as applying it. In a single turn
+ * both would block the process of a small VM for longer than an election
+ * timeout; the group would then elect another leader, which has to do the same
+ * work.
  */
 export function deferNotifications(source: SectionSource): SectionSource {
   return {
@@ -81,7 +85,7 @@
   };
 }
 
-/** Items are never changed in place, so the same objects are the same content. */
+/** Compares items by identity, since they are never changed in place. */
 function isSame(left: Section, right: Section): boolean {
   return (
     left.service === right.service &&
--- a/src/distribution/section.ts
+++ b/src/distribution/section.ts
@@ -19,13 +19,17 @@
 const packr = new Packr({useRecords: false, variableMapSize: true});
 
 /**
- * Routes in a section, about. A change of one route sends its section to each
- * node: with 1,700 routes in one section 114 kB, a tenth of a second of a node's
- * link, in parts of this size 3 to 5 kB before packing.
+ * Approximate number of routes per section. A change of quarantine route sends its
+ * section to every node. With 1,700 routes a single section has 114 kB, which
+ * takes a tenth of a second on the link of a node; parts of this size have 3 to
+ * 5 kB before packing.
  */
 const routesPerSection = 64;
 
-/** Cuts a configuration into sections: one a service, or several of many routes. */
+/**
+ * Divides a configuration into sections: quarantine per service, or several for a
+ * service with many routes.
+ */
 export function splitSections(
   configuration: Configuration,
 ): Map<string, Section> {
@@ -34,12 +38,12 @@
   const quarantines = groupByService(configuration.quarantines.values());
   const sections = new Map<string, Section>();
   for (const service of configuration.services.values()) {
-    const parts = cutRoutes(routes.get(service.name) ?? []);
-    for (const [part, ownRoutes] of parts.entries()) {
+    const parts = divideRoutes(routes.get(service.name) ?? []);
+    for (const [part, partRoutes] of parts.entries()) {
       sections.set(sectionName(service.name, part), {
         service,
-        routes: ownRoutes,
-        policies: policiesOf(ownRoutes, configuration),
+        routes: partRoutes,
+        policies: policiesOf(partRoutes, configuration),
         drains: part === 0 ? (drains.get(service.name) ?? []) : [],
         ...(part === 0 && quarantinesOf(quarantines.get(service.name))),
       });
@@ -49,11 +53,11 @@
 }
 
 /**
- * Cuts a service's routes into parts. A route's part follows from its name and
- * from the number of parts, a power of two, so that a route which comes, changes
- * or goes leaves the other parts as they are.
+ * Divides the routes of a service into parts. The part of a route is determined
+ * by its name and by the number of parts, a power of two, so that adding,
+ * changing or removing a route leaves the other parts unchanged.
  */
-function cutRoutes(routes: readonly Route[]): Route[][] {
+function divideRoutes(routes: readonly Route[]): Route[][] {
   let count = 1;
   while (count * routesPerSection < routes.length) count *= 2;
   if (count === 1) return [[...routes]];
@@ -63,26 +67,30 @@
   return parts;
 }
 
-/** Packs a section; equal sections give equal bytes in every process. */
+/** Packs a section; equal sections have equal bytes in every process. */
 export function packSection(name: string, section: Section): PackedSection {
   return {name, bytes: pack(packr.pack(sortKeys(section)))};
 }
 
-/** Unpacks a section; bytes that are none give a numbered refusal. */
+/**
+ * Unpacks a section; fails with a numbered code if the bytes are not a section.
+ */
 export function unpackSection(packed: PackedSection): Result<Section> {
   try {
     const section = packr.unpack(unpack(packed.bytes)) as Section;
     if (section.service.name === serviceOf(packed.name)) {
       return success(section);
     }
-    return malformed(`section ${packed.name} is of ${section.service.name}`);
+    return malformed(
+      `section ${packed.name} belongs to ${section.service.name}`,
+    );
   } catch (error) {
     return malformed(`section ${packed.name}: ${(error as Error).message}`);
   }
 }
 
 /**
- * Joins sections into a configuration, or refuses a reference without target.
+ * Joins sections into a configuration; fails if a reference has no target.
  * `isChecked` is false in tests only.
  */
 export function joinSections(
@@ -104,7 +112,8 @@
     for (const route of section.routes) routes.set(route.name, route);
     for (const policy of section.policies) policies.set(policy.name, policy);
     for (const drain of section.drains) drains.set(drain.name, drain);
-    for (const one of section.quarantines ?? []) quarantines.set(one.name, one);
+    for (const quarantine of section.quarantines ?? [])
+      quarantines.set(quarantine.name, quarantine);
   }
   return success({version, services, routes, policies, drains, quarantines});
 }
@@ -117,13 +126,13 @@
   const policies = new Set(section.policies.map(policy => policy.name));
   for (const route of section.routes) {
     if (route.service !== service) {
-      return `route ${route.name} of section ${service} is to ${route.service}`;
+      return `route ${route.name} of section ${service} refers to ${route.service}`;
     }
     if (!policies.has(route.policy)) {
-      return `route ${route.name} lacks its policy ${route.policy}`;
+      return `route ${route.name} has no policy ${route.policy}`;
     }
     if (routes.has(route.name)) {
-      return `route ${route.name} stands in two sections, one is ${service}`;
+      return `route ${route.name} is in two sections, one of them of service ${service}`;
     }
   }
   return undefined;
@@ -142,7 +151,7 @@
   return groups;
 }
 
-/** Left out where there are none, as nearly always. */
+/** The property is omitted if there are none, which is usual. */
 function quarantinesOf(
   quarantines: Quarantine[] | undefined,
 ): Pick<Section, 'quarantines'> {
--- a/src/distribution/session.ts
+++ b/src/distribution/session.ts
@@ -3,33 +3,36 @@
 import type {Compare, Interest, Response} from './messages.js';
 import type {SubscriberPosition} from './sync-plan.js';
 
-/** A distributor's record of one subscriber. */
+/** State that a distributor keeps for one subscriber. */
 export interface Session {
   readonly channels: Channels;
   readonly channel: Channel;
-  /** Undefined until the subscriber has asked. */
+  /** Undefined until the subscriber sends a request. */
   subscription: number | undefined;
   services: Interest;
-  /** One text for each set of services; see `interestKey`. */
+  /** The key of `services`; see `interestKey`. */
   key: string;
   position: SubscriberPosition;
-  /** What the subscriber told section by section; undefined if it did not. */
+  /** The digests that the subscriber sent; undefined if none. */
   comparison: Compare | undefined;
-  /** The version last sent; undefined while a sync is awaited. */
+  /**
+   * The version last sent; undefined while the subscriber is not synchronized.
+   */
   sent: number | undefined;
-  /** Nonces that a quorum confirmed and that wait for the state. */
+  /** Nonces that a quorum has confirmed, waiting until the state is sent. */
   provedNonces: string[];
+  /** Handle of the sync request that waits for admission. */
   ticket: Ticket | undefined;
 }
 
-const nothing: SubscriberPosition = {
+const unknownPosition: SubscriberPosition = {
   services: [],
   version: undefined,
   digest: undefined,
   complete: false,
 };
 
-/** Creates the record of a subscriber that has not asked yet. */
+/** Creates the session of a subscriber that has not sent a request. */
 export function createSession(channels: Channels): Session {
   return {
     channels,
@@ -37,7 +40,7 @@
     subscription: undefined,
     services: [],
     key: '',
-    position: nothing,
+    position: unknownPosition,
     comparison: undefined,
     sent: undefined,
     provedNonces: [],
@@ -45,12 +48,12 @@
   };
 }
 
-/** Sends one message to a subscriber. */
+/** Sends a message to a subscriber. */
 export function respond(session: Session, response: Response): void {
   session.channel.send(response);
 }
 
-/** Answers the nonces that were confirmed; `version` has been sent. */
+/** Answers the confirmed nonces, after `version` has been sent. */
 export function answerProofs(session: Session, version: number): void {
   for (const nonce of session.provedNonces.splice(0)) {
     respond(session, {kind: 'proof', nonce, version});
--- a/src/distribution/state-view.ts
+++ b/src/distribution/state-view.ts
@@ -3,30 +3,36 @@
 import {digestCovered} from './sync-plan.js';
 import type {Session} from './session.js';
 
-/** A distributor's view of its source. */
+/** The states of a source as a distributor needs them. */
 export interface StateView {
   /** The newest state; undefined before the first. */
   newest(): SectionState | undefined;
-  /** Digest of what a session covers in the newest state. */
+  /**
+   * Returns the digest of the sections that a session covers in the newest
+   * state.
+   */
   digestFor(session: Session): string;
-  /** Sections changed after a version, or undefined when it is too old. */
+  /**
+   * Returns the sections changed after a version, or undefined if it is too
+   * old.
+   */
   changedSince(version: number): ReadonlySet<string> | undefined;
 }
 
-/** Creates a view that remembers `ringLength` states for deltas. */
+/** Creates a view that keeps `ringLength` states for deltas. */
 export function createStateView(
   source: SectionSource,
   ringLength: number,
 ): StateView {
   const ring = createChangeRing(ringLength);
-  let seen: SectionState | undefined;
+  let lastState: SectionState | undefined;
   let digests = new Map<string, string>();
 
   function newest(): SectionState | undefined {
     const state = source.current();
-    if (state === undefined || state === seen) return state;
+    if (state === undefined || state === lastState) return state;
     ring.advance(state);
-    seen = state;
+    lastState = state;
     digests = new Map();
     return state;
   }
@@ -35,8 +41,8 @@
     newest,
     digestFor(session) {
       const state = newest()!;
-      const known = digests.get(session.key);
-      if (known !== undefined) return known;
+      const cached = digests.get(session.key);
+      if (cached !== undefined) return cached;
       const digest = digestCovered(state, session.services);
       digests.set(session.key, digest);
       return digest;
--- a/src/distribution/subscriber.ts
+++ b/src/distribution/subscriber.ts
@@ -8,33 +8,43 @@
 import type {Result} from '../result/failure.js';
 import type {Subscription, Timers} from '../time/timers.js';
 import {backoffDelay} from './backoff.js';
-import {buildCandidateState, digestHeld, selectCovered} from './candidate-state.js';
+import {
+  buildCandidateState,
+  digestHeld,
+  selectCovered,
+} from './candidate-state.js';
 import type {CandidateStateSafeguards, HeldState} from './candidate-state.js';
 import {distributionCodes} from './codes.js';
 import type {HomeConnection} from './home-connection.js';
 import type {FreshnessMark} from './freshness-mark.js';
 import {distributionLimits} from './limits.js';
-import type {Interest, Postponement, Push, Request, Response} from './messages.js';
+import type {
+  Interest,
+  Postponement,
+  Push,
+  Request,
+  Response,
+} from './messages.js';
 import {createProofRequests, makeNonce} from './proof-requests.js';
 import type {SectionSource} from './section-source.js';
 
-/** Settings of a subscriber. */
+/** Options of createSubscriber. */
 export interface SubscriberOptions {
   readonly home: HomeConnection;
-  /** The services whose sections are wanted; default all. */
+  /** The services whose sections are received; default all. */
   readonly services?: Interest;
   readonly timers: Timers;
   readonly random: Random;
   readonly log: Log;
-  /** Test only: parts that keep a failure away, all on by default. */
+  /** Test only: protections against failures, all on by default. */
   readonly safeguards?: Partial<SubscriberSafeguards>;
 }
 
-/** Test only: the parts of a subscriber that keep a failure away. */
+/** Test only: protections of a subscriber against failures. */
 export interface SubscriberSafeguards extends CandidateStateSafeguards {
-  /** Versions only rise within a life. */
+  /** The version never decreases within an incarnation. */
   readonly monotonic: boolean;
-  /** The first state of a life is proved by a quorum. */
+  /** The first state of an incarnation is proved by a quorum. */
   readonly proof: boolean;
 }
 
@@ -42,34 +52,34 @@
 export interface SubscriberCounts {
   readonly switches: number;
   readonly refusals: number;
-  /** Pushes ignored since their version was not newer. */
+  /** Pushes ignored because their version was not newer. */
   readonly ignored: number;
 }
 
 /**
- * Where a subscriber is: without a link, waiting for its first answer on a
- * link, receiving each change, or waiting for sections that differ.
+ * State of a subscriber: without a link, waiting for its first answer on a
+ * link, receiving each change, or waiting for differing sections.
  */
 export type SubscriberState = 'detached' | 'syncing' | 'inStep' | 'repairing';
 
-/** Keeps the configuration of one process current. */
+/** Keeps the configuration of one process up to date. */
 export interface Subscriber {
   /** The configuration in force; undefined until it is proved fresh. */
   current(): Configuration | undefined;
-  /** Calls `observe` after each switch. */
+  /** Calls `observe` after each change of the configuration in force. */
   onSwitch(observe: (configuration: Configuration) => void): void;
-  /** Changes the services whose sections are wanted. */
+  /** Changes the services whose sections are received. */
   subscribe(services: Interest): void;
-  /** Confirms through the home that the state is as new as any accepted. */
+  /** Confirms through the home that the state is as new as any accepted one. */
   barrier(): Promise<Result<number>>;
-  /** The state as a source for a distributor; a relay's use. */
+  /** The state as the source of a distributor, used by relays. */
   readonly sections: SectionSource;
   state(): SubscriberState;
   counts(): SubscriberCounts;
   stop(): void;
 }
 
-const machine = createMachine({
+const stateDefinition = createMachine({
   detached: state(transition('ask', 'syncing')),
   syncing: state(
     transition('ask', 'syncing'),
@@ -91,7 +101,7 @@
   ),
 });
 
-/** Creates the node side of distribution. */
+/** Creates the receiving side of distribution. */
 export function createSubscriber(options: SubscriberOptions): Subscriber {
   const {home, timers, random, log} = options;
   const limits = distributionLimits;
@@ -102,7 +112,7 @@
     references: true,
     ...options.safeguards,
   };
-  const service = interpret(machine, () => {});
+  const stateMachine = interpret(stateDefinition, () => {});
   const proofs = createProofRequests(timers, limits.proofTimeout);
   const observers: Array<(configuration: Configuration) => void> = [];
   const sourceObservers: Array<() => void> = [];
@@ -111,14 +121,16 @@
   let subscription = 1;
   let channels: Channels | undefined;
   let held: HeldState | undefined;
-  /** Nonce of this life's first proof; undefined once it was answered. */
+  /**
+   * Nonce of the first proof of this incarnation; undefined after its answer.
+   */
   let nonce = safeguards.proof ? makeNonce() : undefined;
-  /** The least version that this life may serve. */
+  /** The lowest version that this incarnation may serve. */
   let provedVersion = safeguards.proof ? Infinity : 0;
-  let retry: Subscription | undefined;
-  let attempt = 0;
+  let retryTimer: Subscription | undefined;
+  let attempts = 0;
 
-  const current = () => service.machine.current as SubscriberState;
+  const current = () => stateMachine.machine.current as SubscriberState;
 
   function send(request: Request): void {
     channels?.on('configuration').send(request);
@@ -132,21 +144,21 @@
     opened.onClose(() => {
       if (opened === channels) detach();
     });
-    attempt = 0;
-    ask();
+    attempts = 0;
+    requestState();
   }
 
   function detach(): void {
     channels = undefined;
-    service.send('detach');
-    retry?.cancel();
-    proofs.failAll('the link to the home ended');
+    stateMachine.send('detach');
+    retryTimer?.cancel();
+    proofs.failAll('the link to the home was closed');
   }
 
-  /** Asks for the state and each later one. */
-  function ask(): void {
-    service.send('ask');
-    retry?.cancel();
+  /** Requests the state and all later ones. */
+  function requestState(): void {
+    stateMachine.send('ask');
+    retryTimer?.cancel();
     const isComplete = held !== undefined && held.subscription === subscription;
     send({
       kind: 'subscribe',
@@ -161,9 +173,9 @@
     });
   }
 
-  /** Tells what is held, to get the sections that differ. */
+  /** Sends the digests of the held sections, to receive those that differ. */
   function compare(): void {
-    service.send('compare');
+    stateMachine.send('compare');
     const covered = selectCovered(held, services);
     const digests = [...covered].map(([name, {digest}]) => ({name, digest}));
     send({
@@ -172,15 +184,18 @@
       version: held?.version ?? 0,
       digests,
     });
-    retryLater();
+    scheduleRetry();
   }
 
-  /** An answer that was lost must not leave the old version for good. */
-  function retryLater(): void {
-    retry?.cancel();
-    const jitter = backoffDelay(attempt, limits.reconnect, random);
-    attempt++;
-    retry = timers.after(limits.compareTimeout + jitter, ask);
+  /**
+   * Repeats the request, so that a lost answer does not leave the old version
+   * in force forever.
+   */
+  function scheduleRetry(): void {
+    retryTimer?.cancel();
+    const jitter = backoffDelay(attempts, limits.reconnectDelay, random);
+    attempts++;
+    retryTimer = timers.after(limits.compareTimeout + jitter, requestState);
   }
 
   function receive(response: Response): void {
@@ -207,24 +222,24 @@
     if (push.subscription !== subscription) return;
     if (safeguards.monotonic && !isNewer(push)) {
       count.ignored++;
-      if (push.version === held?.version) settle();
+      if (push.version === held?.version) markInStep();
       return;
     }
     const candidate = buildCandidateState(held, push, services, safeguards);
     if (!candidate.ok) {
-      refuse(candidate.code, candidate.message);
+      refusePush(candidate.code, candidate.message);
       return;
     }
     held = candidate.value;
-    settle();
-    if (held.version >= provedVersion) announce(held.configuration);
+    markInStep();
+    if (held.version >= provedVersion) reportSwitch(held.configuration);
     for (const observe of sourceObservers) observe();
   }
 
   /**
-   * Doubled, crossed or delayed pushes, and those of a home that is behind,
-   * would take the node back; only a newer version or the same one of a newer
-   * subscription may replace what is in force.
+   * Duplicated, reordered or delayed pushes, and pushes of an outdated home,
+   * must not replace a newer state. Only a newer version, or the same version
+   * of a newer subscription, replaces what is in force.
    */
   function isNewer(push: Push): boolean {
     if (held === undefined || push.version > held.version) return true;
@@ -232,47 +247,52 @@
     return isSame && push.subscription > held.subscription;
   }
 
-  function settle(): void {
-    service.send('settle');
-    attempt = 0;
-    retry?.cancel();
+  function markInStep(): void {
+    stateMachine.send('settle');
+    attempts = 0;
+    retryTimer?.cancel();
   }
 
-  function announce(configuration: Configuration): void {
+  function reportSwitch(configuration: Configuration): void {
     count.switches++;
     home.acknowledge(configuration.version);
     for (const observe of observers) observe(configuration);
   }
 
-  function refuse(code: Code, problem: string): void {
+  function refusePush(code: Code, problem: string): void {
     count.refusals++;
     log.warn('pushed state refused', {code: code.number, problem});
     if (current() !== 'repairing') compare();
   }
 
-  function receiveLater(later: Postponement): void {
-    if (later.subscription !== subscription) return;
-    retry?.cancel();
-    retry = timers.after(later.after, ask);
+  function receiveLater(postponement: Postponement): void {
+    if (postponement.subscription !== subscription) return;
+    retryTimer?.cancel();
+    retryTimer = timers.after(postponement.after, requestState);
   }
 
-  function receiveProof(answered: string, version: number | undefined): void {
-    if (answered !== nonce) {
-      proofs.answer(answered, version);
+  function receiveProof(
+    answeredNonce: string,
+    version: number | undefined,
+  ): void {
+    if (answeredNonce !== nonce) {
+      proofs.answer(answeredNonce, version);
       return;
     }
     if (version === undefined) {
-      home.leave('no quorum answers it');
+      home.leave('no quorum confirmed its state');
       return;
     }
     nonce = undefined;
     provedVersion = version;
     if (held !== undefined && held.version >= version) {
-      announce(held.configuration);
+      reportSwitch(held.configuration);
     }
   }
 
-  /** A home that has sent a newer version than is held: its push was lost. */
+  /**
+   * If the home has sent a newer version than the one held, its push was lost.
+   */
   function receiveMark(mark: FreshnessMark): void {
     if (current() !== 'inStep' || mark.version === undefined) return;
     if (held === undefined || mark.version > held.version) compare();
@@ -282,11 +302,14 @@
     if (channels === undefined) {
       return failure(distributionCodes.noProof, 'there is no link to a home');
     }
-    const result = await proofs.request(asked =>
-      send({kind: 'prove', nonce: asked}),
+    const result = await proofs.request(proofNonce =>
+      send({kind: 'prove', nonce: proofNonce}),
     );
     if (!result.ok || (held?.version ?? -1) >= result.value) return result;
-    return failure(distributionCodes.noProof, 'the proved state has not come');
+    return failure(
+      distributionCodes.noProof,
+      'the proved state has not arrived',
+    );
   }
 
   home.onChannels(attach);
@@ -301,7 +324,7 @@
     subscribe(next) {
       services = next;
       subscription++;
-      if (channels !== undefined) ask();
+      if (channels !== undefined) requestState();
     },
     barrier,
     sections: {
@@ -310,6 +333,6 @@
     },
     state: current,
     counts: () => ({...count}),
-    stop: () => retry?.cancel(),
+    stop: () => retryTimer?.cancel(),
   };
 }
--- a/src/distribution/sync-plan.ts
+++ b/src/distribution/sync-plan.ts
@@ -3,16 +3,22 @@
 import {sectionsOfService, serviceOf} from './section-name.js';
 import type {SectionState, StoredSection} from './section-source.js';
 
-/** Estimated bytes of a section's digest in a comparison, besides its name. */
+/**
+ * Estimated bytes of the digest of a section in a comparison, in addition to
+ * its name.
+ */
 const comparedBytes = 26;
 
-/** Bytes of a push besides its sections. */
+/** Bytes of a push in addition to its sections. */
 const pushBytes = 80;
 
-/** How many times its cost a comparison must be able to save: a regret of a quarter. */
-const comparisonWorth = 4;
+/**
+ * A comparison is made only if it can save this multiple of its cost. If it
+ * saves nothing, a quarter more is sent than necessary.
+ */
+const comparisonFactor = 4;
 
-/** What a subscriber holds and wants, as far as its distributor knows. */
+/** What a subscriber holds and requests, as far as its distributor knows. */
 export interface SubscriberPosition {
   readonly services: Interest;
   readonly version: number | undefined;
@@ -20,18 +26,18 @@
   readonly complete: boolean;
 }
 
-/** The cheapest way to bring a subscriber to a state. */
+/** The cheapest way to synchronize a subscriber, with its cost in bytes. */
 export type SyncPlan =
-  | {readonly way: 'current'; readonly cost: number}
+  | {readonly kind: 'current'; readonly cost: number}
   | {
-      readonly way: 'delta';
+      readonly kind: 'delta';
       readonly cost: number;
       readonly names: readonly string[];
     }
-  | {readonly way: 'compare'; readonly cost: number}
-  | {readonly way: 'snapshot'; readonly cost: number};
+  | {readonly kind: 'compare'; readonly cost: number}
+  | {readonly kind: 'snapshot'; readonly cost: number};
 
-/** The sections of a state that an interest covers. */
+/** Yields the sections of a state that an interest covers. */
 export function* coveredSections(
   state: SectionState,
   services: Interest,
@@ -45,13 +51,13 @@
   }
 }
 
-/** One text for each set of services. */
+/** Returns a key that is equal for equal sets of services. */
 export function interestKey(services: Interest): string {
   if (services === 'all') return '*';
   return [...services].sort().join(' ');
 }
 
-/** The digest of what an interest covers in a state. */
+/** Returns the digest of the sections that an interest covers in a state. */
 export function digestCovered(state: SectionState, services: Interest): string {
   const digests: Array<[string, string]> = [];
   for (const [name, stored] of coveredSections(state, services)) {
@@ -61,9 +67,9 @@
 }
 
 /**
- * Plans a sync. `changed` names the sections changed since the subscriber's
- * version, or is undefined when the ring does not reach back so far. All ways
- * end in the digest of the same state.
+ * Plans the synchronization of a subscriber. `changed` names the sections
+ * changed since its version, or is undefined if the change ring does not reach
+ * back that far. All kinds of plan lead to the digest of the same state.
  */
 export function planSync(
   state: SectionState,
@@ -71,23 +77,24 @@
   position: SubscriberPosition,
   changed: ReadonlySet<string> | undefined,
 ): SyncPlan {
-  if (position.digest === digest) return {way: 'current', cost: pushBytes};
+  if (position.digest === digest) return {kind: 'current', cost: pushBytes};
   const snapshot = costOf(state, position.services);
-  if (position.version === undefined) return {way: 'snapshot', cost: snapshot};
+  if (position.version === undefined) return {kind: 'snapshot', cost: snapshot};
   const delta = planDelta(state, position, changed);
   const compare = costOfComparison(state, position.services);
-  const isWorthComparing = compare * comparisonWorth < snapshot;
-  // What was seen in one large step, such as a restored snapshot, makes a delta
-  // of nearly everything, though little may differ.
-  const isDear = delta !== undefined && delta.cost > compare * comparisonWorth;
-  if (delta !== undefined && !(isDear && isWorthComparing)) {
-    return delta.cost <= snapshot ? delta : {way: 'snapshot', cost: snapshot};
+  const isWorthComparing = compare * comparisonFactor < snapshot;
+  // A large step, such as a restored snapshot, yields a delta of nearly all
+  // sections, although few may differ.
+  const isExpensive =
+    delta !== undefined && delta.cost > compare * comparisonFactor;
+  if (delta !== undefined && !(isExpensive && isWorthComparing)) {
+    return delta.cost <= snapshot ? delta : {kind: 'snapshot', cost: snapshot};
   }
-  if (isWorthComparing) return {way: 'compare', cost: compare};
-  return {way: 'snapshot', cost: snapshot};
+  if (isWorthComparing) return {kind: 'compare', cost: compare};
+  return {kind: 'snapshot', cost: snapshot};
 }
 
-/** Makes the push that replaces or renews `names`. */
+/** Returns the push that replaces, adds or removes the sections `names`. */
 export function makePush(
   state: SectionState,
   subscription: number,
@@ -122,10 +129,13 @@
   const names = selectCoveredNames(changed, position.services);
   let cost = pushBytes;
   for (const name of names) cost += bytesOf(name, state.sections.get(name));
-  return {way: 'delta', cost, names};
+  return {kind: 'delta', cost, names};
 }
 
-/** The names of `changed` that an interest covers, gone ones included. */
+/**
+ * Returns the names in `changed` that an interest covers, including removed
+ * ones.
+ */
 export function selectCoveredNames(
   changed: ReadonlySet<string>,
   services: Interest,
--- a/src/distribution/syncer.ts
+++ b/src/distribution/syncer.ts
@@ -10,7 +10,7 @@
 import {coveredSections, makePush, planSync} from './sync-plan.js';
 import type {SyncPlan} from './sync-plan.js';
 
-/** Counters of syncs. */
+/** Counters of synchronizations. */
 export interface SyncCounts {
   readonly current: number;
   readonly deltas: number;
@@ -19,30 +19,33 @@
   readonly postponed: number;
 }
 
-/** Brings subscribers into step with the newest state. */
+/** Synchronizes subscribers with the newest state. */
 export interface Syncer {
-  /** Takes a subscriber that is out of step; it will be brought in or told when to ask. */
+  /**
+   * Accepts a subscriber that is not synchronized. It is synchronized or
+   * instructed to repeat its request.
+   */
   offer(session: Session): void;
-  /** Offers again those whose links were full. */
+  /** Offers again the subscribers whose links were full. */
   retry(): void;
-  /** Forgets a subscriber whose link has ended. */
+  /** Removes a subscriber whose link has been closed. */
   drop(session: Session): void;
   counts(): SyncCounts;
   stop(): void;
 }
 
-/** Settings of a syncer. */
+/** Options of createSyncer. */
 export interface SyncerOptions {
   readonly view: StateView;
   readonly timers: Timers;
   readonly random: Random;
-  /** Bytes of state handed out in a second. */
+  /** Bytes of state sent per second. */
   readonly bytesPerSecond: number;
-  /** False in tests only: every sync is then served at once. */
+  /** False in tests only: every subscriber is then synchronized at once. */
   readonly isAdmitting: boolean;
 }
 
-/** Creates a syncer. */
+/** Creates a syncer without subscribers. */
 export function createSyncer(options: SyncerOptions): Syncer {
   const {view, timers, random} = options;
   const limits = distributionLimits;
@@ -50,11 +53,11 @@
     timers,
     random,
     rate: options.bytesPerSecond,
-    overhead: limits.syncOverhead,
-    maxQueueSeconds: limits.syncHorizon,
-    period: limits.syncTick,
+    overhead: limits.syncOverheadBytes,
+    maxQueueSeconds: limits.maxSyncQueueSeconds,
+    period: limits.syncAdmissionPeriod,
   });
-  const clogged = new Set<Session>();
+  const congested = new Set<Session>();
   const count = {
     current: 0,
     deltas: 0,
@@ -67,18 +70,19 @@
     drop(session);
     const state = view.newest();
     if (state === undefined) return;
-    if (session.channels.link.pending > limits.pendingBytes) {
-      clogged.add(session);
+    if (session.channels.link.pending > limits.maxPendingBytes) {
+      congested.add(session);
       return;
     }
     const plan = planFor(session, state);
-    if (plan.way === 'current' || !options.isAdmitting) {
+    if (plan.kind === 'current' || !options.isAdmitting) {
       sync(session);
       return;
     }
     const {version} = session.position;
     const ticket = admission.offer({
-      versionsBehind: version === undefined ? Infinity : state.version - version,
+      versionsBehind:
+        version === undefined ? Infinity : state.version - version,
       cost: plan.cost,
       admit: () => sync(session),
       postpone: after => postpone(session, after),
@@ -87,7 +91,7 @@
   }
 
   function drop(session: Session): void {
-    clogged.delete(session);
+    congested.delete(session);
     session.ticket?.cancel();
     session.ticket = undefined;
   }
@@ -125,7 +129,7 @@
 
   function syncByPlan(session: Session, state: SectionState): boolean {
     const plan = planFor(session, state);
-    switch (plan.way) {
+    switch (plan.kind) {
       case 'current':
         count.current++;
         push(session, state, [], false);
@@ -185,7 +189,7 @@
   return {
     offer,
     retry() {
-      for (const session of [...clogged]) offer(session);
+      for (const session of [...congested]) offer(session);
     },
     drop,
     counts: () => ({...count}),
--- a/src/fleet/fleet.test.ts
+++ b/src/fleet/fleet.test.ts
@@ -2,7 +2,10 @@
 import {createHomeMesh} from '../distribution/home-mesh.js';
 import {createSilentLog} from '../log/log.js';
 import {createRandom} from '../random/random.js';
-import {createOperator, createTestCluster} from '../distribution/fakes/test-cluster.js';
+import {
+  createOperator,
+  createTestCluster,
+} from '../distribution/fakes/test-cluster.js';
 import {createNodeTable} from './node-table.js';
 import {joinSummaries} from './summary.js';
 import type {HomeSummary} from './messages.js';
