--- a/src/distribution/admission.test.ts
+++ b/src/distribution/admission.test.ts
@@ -29,7 +29,7 @@
   return {timers, admission, admitted, postponed, offer};
 }
 
-test('syncs are admitted at the rate, those in most need first', t => {
+test('requests are admitted at the rate, those that are furthest behind first', t => {
   const {timers, admitted, offer} = setUp(1000);
   offer('opening', 1, 10);
   offer('slightly behind', 1, 100);
@@ -45,7 +45,7 @@
   ]);
 });
 
-test('of equal need the cheaper goes first', t => {
+test('of two requests that are equally far behind the cheaper is admitted first', t => {
   const {timers, admitted, offer} = setUp(1000);
   offer('opening', 1, 10);
   offer('dear', 5, 900);
@@ -54,7 +54,7 @@
   t.deepEqual(admitted, ['opening', 'cheap', 'dear']);
 });
 
-test('what does not fit into the horizon is told to come back, spread out', t => {
+test('requests that exceed the queue are postponed by spread delays', t => {
   const {admission, postponed, offer} = setUp(1000);
   for (let sync = 0; sync < 1000; sync++) offer(`${sync}`, 1, 10);
   t.is(admission.waiting() + postponed.length, 999);
@@ -65,10 +65,11 @@
   t.true(postponed.every(after => after >= 1000 && after <= 10_000));
 });
 
-// A herd would be out for half as long again as its states take to send. Each
-// node that is told to come back is given a time within what those away will
-// need; one that has come back must no longer count among them.
-function bringBack(isNoted: boolean): number {
+// Guards against nodes that reconnect together and are without a state for half
+// as long again as sending their states takes. Each postponed node gets a delay
+// within the time that all postponed nodes need; a node that has asked again
+// must no longer be counted among them.
+function finishHerd(isReturnReported: boolean): number {
   const {timers, admission} = setUp(1000);
   let last = 0;
   const offer = () => {
@@ -78,7 +79,7 @@
       admit: () => (last = timers.now()),
       postpone(after) {
         timers.after(after, () => {
-          if (isNoted) ticket.cancel();
+          if (isReturnReported) ticket.cancel();
           offer();
         });
       },
@@ -89,12 +90,12 @@
   return last;
 }
 
-test('a herd takes no longer than its states need', t => {
-  t.true(bringBack(false) > 13_000);
-  t.true(bringBack(true) < 10_200);
+test('nodes that reconnect together take no longer than their states need', t => {
+  t.true(finishHerd(false) > 13_000);
+  t.true(finishHerd(true) < 10_200);
 });
 
-test('a cancelled sync is not admitted', t => {
+test('a cancelled request is not admitted', t => {
   const {timers, admitted, offer} = setUp(1000);
   offer('opening', 1, 10);
   offer('gone', 1, 10).cancel();
@@ -102,50 +103,50 @@
   t.deepEqual(admitted, ['opening']);
 });
 
-// Operators change the configuration while 150 nodes of a failure domain come
-// back. A node that was in step all along waits for its push behind whatever
-// state the home has put on the wire before it, so that must be bounded.
-async function returnHerd(admission: boolean) {
-  const stage = createTestCluster();
+// Guards against an accepted change that is late while 150 nodes of a failure
+// domain reconnect. The push to a node that is in step is queued behind all
+// states that its home has sent before, so their size must be bounded.
+async function reconnectHerd(admission: boolean) {
+  const cluster = createTestCluster();
   const operator = createOperator();
   const names = Array.from({length: 50}, (_, index) => `service-${index}`);
   operator.accept({put: names});
-  const control = await stage.control('control-1', operator, {
+  const control = await cluster.control('control-1', operator, {
     safeguards: {admission},
     syncBytesPerSecond: 400_000,
   });
-  const steady = stage.node('steady', [control.address]);
-  await stage.timers.advanceAsync(2000);
+  const steady = cluster.node('steady', [control.address]);
+  await cluster.timers.advanceAsync(2000);
   let sent = 0;
-  let ahead: number | undefined;
-  stage.network.decide((source, target, message) => {
+  let bytesAhead: number | undefined;
+  cluster.network.decide((source, target, message) => {
     const text = JSON.stringify(message);
     if (source !== 'control-1' || !text.includes('"push"')) return 'deliver';
     if (target !== 'steady') sent += text.length;
-    else ahead ??= sent;
+    else bytesAhead ??= sent;
     return 'deliver';
   });
   const herd = Array.from({length: 150}, (_, index) =>
-    stage.node(`node-${index}`, [control.address]),
+    cluster.node(`node-${index}`, [control.address]),
   );
-  await stage.timers.advanceAsync(5);
+  await cluster.timers.advanceAsync(5);
   operator.accept({put: ['service-1']});
-  await stage.timers.advanceAsync(30);
+  await cluster.timers.advanceAsync(30);
   const steadyVersion = steady.subscriber.current()!.version;
-  await stage.timers.advanceAsync(30_000);
+  await cluster.timers.advanceAsync(30_000);
   const versions = herd.map(node => node.subscriber.current()?.version);
   const synced = versions.filter(version => version === 2).length;
-  return {ahead: ahead!, steadyVersion, synced};
+  return {bytesAhead: bytesAhead!, steadyVersion, synced};
 }
 
-test('a returning herd does not go ahead of an accepted change', async t => {
-  const without = await returnHerd(false);
-  const within = await returnHerd(true);
+test('nodes that reconnect together do not delay an accepted change', async t => {
+  const without = await reconnectHerd(false);
+  const within = await reconnectHerd(true);
   t.is(within.steadyVersion, 2);
-  t.true(without.ahead > 20 * within.ahead, JSON.stringify({without, within}));
+  t.true(without.bytesAhead > 20 * within.bytesAhead, JSON.stringify({without, within}));
 });
 
-test('each node of a herd is served in the end', async t => {
-  const {synced} = await returnHerd(true);
+test('each of many nodes that reconnect together is served eventually', async t => {
+  const {synced} = await reconnectHerd(true);
   t.is(synced, 150);
 });
--- a/src/distribution/batcher.test.ts
+++ b/src/distribution/batcher.test.ts
@@ -11,7 +11,7 @@
   return {timers, pushes, batcher};
 }
 
-test('the first change after a quiet time leaves at once', t => {
+test('the first change after a quiet period is pushed at once', t => {
   const {timers, pushes, batcher} = setUp(1000);
   batcher.notify();
   t.deepEqual(pushes, [0]);
@@ -20,7 +20,7 @@
   t.deepEqual(pushes, [0, 1500]);
 });
 
-test('changes inside the window go out together at its end', t => {
+test('changes within the window are pushed together at its end', t => {
   const {timers, pushes, batcher} = setUp(1000);
   for (let change = 0; change < 25; change++) {
     batcher.notify();
@@ -31,7 +31,7 @@
   t.deepEqual(pushes, [0, 1000, 2000, 3000]);
 });
 
-test('it tells how long the oldest change has waited', t => {
+test('the time of the oldest waiting change is available', t => {
   const {timers, batcher} = setUp(1000);
   batcher.notify();
   t.is(batcher.waitingSince(), undefined);
--- a/src/distribution/distributor.test.ts
+++ b/src/distribution/distributor.test.ts
@@ -10,7 +10,7 @@
 import type {Push, Request, Response} from './messages.js';
 import {createSectionSource} from './section-source.js';
 
-/** A distributor with one subscriber whose link can be full. */
+/** Creates a distributor with one subscriber, whose link can be full. */
 function setUp(ringLength = 1024) {
   const timers = createFakeTimers();
   const operator = createOperator();
@@ -52,10 +52,10 @@
     .filter((one): one is Push => one.kind === 'push')
     .map(push => push.version);
 
-// A node reads slowly, or its VM hangs. Pushed on regardless, the home would
-// hold an ever longer queue for it in memory, of states that are old by the
-// time they arrive.
-test('a full link gets one push for all that it missed, once it is free', t => {
+// Guards against unbounded memory use by a node that reads slowly or whose VM
+// is suspended. If its home continued to push, it would hold a growing queue of
+// states that are outdated on arrival.
+test('a full link gets one push for all missed changes once it is free', t => {
   const {timers, operator, link, sent} = setUp();
   link.pending = 10_000_000;
   for (let change = 0; change < 5; change++) {
@@ -68,7 +68,7 @@
   t.deepEqual(versionsOf(sent), [1, 6]);
 });
 
-test('a link that was full for longer than the ring is compared', t => {
+test('a subscriber whose link was full for longer than the ring is synchronized by comparison', t => {
   const {timers, operator, link, sent, ask} = setUp(2);
   link.pending = 10_000_000;
   for (let change = 0; change < 5; change++) {
@@ -83,7 +83,7 @@
   t.deepEqual(versionsOf(sent), [1, 6]);
 });
 
-test('a sync waits for a link that is full', t => {
+test('a synchronization waits while the link is full', t => {
   const {timers, link, sent, ask} = setUp();
   link.pending = 10_000_000;
   ask({kind: 'compare', subscription: 1, version: 0, digests: []});
--- a/src/distribution/fakes/test-cluster.ts
+++ b/src/distribution/fakes/test-cluster.ts
@@ -30,22 +30,22 @@
 import {createSubscriber} from '../subscriber.js';
 import type {Subscriber, SubscriberOptions} from '../subscriber.js';
 
-/** The operators' side of a test: what control has accepted. */
+/** The configuration that the operators of a test have accepted. */
 export interface Operator {
   current(): Configuration;
   onChange(observe: () => void): void;
-  /** Accepts the next version: services by name, each with its routes. */
+  /** Accepts the next version, with one change. */
   accept(change: Change): void;
-  /** What has been accepted, whether or not `current` shows it yet. */
+  /** The accepted configuration, even if `current` does not show it yet. */
   accepted(): Configuration;
 }
 
 /** One accepted change. */
 export interface Change {
-  /** Services put, each with one route `/NAME` and policy `usual`. */
+  /** Services to put, each with one route `/NAME` and the policy `usual`. */
   readonly put?: readonly string[];
   readonly remove?: readonly string[];
-  /** Deadline of policy `usual`; to change what all sections hold. */
+  /** Deadline of the policy `usual`; changing it changes every section. */
   readonly deadline?: number;
 }
 
@@ -55,7 +55,7 @@
   readonly address: Address;
   readonly distributor: Distributor;
   readonly fleet: Fleet;
-  /** Set to false when no quorum answers this home. */
+  /** Set to false so that no quorum confirms the state of this home. */
   quorum: boolean;
 }
 
@@ -75,7 +75,7 @@
     name: string,
     operator: Operator,
     options?: Partial<DistributorOptions>,
-    fellows?: number,
+    peerCount?: number,
     homes?: () => readonly HomeAddress[],
   ): Promise<TestHome>;
   relay(
@@ -91,7 +91,7 @@
   ): TestNode;
 }
 
-/** Creates an operator over an empty configuration. */
+/** Creates an operator with an empty configuration. */
 export function createOperator(): Operator {
   let configuration = emptyConfiguration;
   const observers: Array<() => void> = [];
@@ -143,28 +143,28 @@
   };
 }
 
-/** Creates an empty stage; a message takes 1 ms one way. */
+/** Creates a cluster without processes; a message takes 1 ms one way. */
 export function createTestCluster(seed = 1): TestCluster {
   const timers = createFakeTimers();
   const network = createFakeNetwork(timers);
   const log = createSilentLog();
   let port = 1000;
-  let seeds = seed;
-  const shared = () => ({timers, log, random: createRandom(++seeds)});
-  const helloOf = (kind: ProcessKind, name: string): Hello => ({
+  let lastSeed = seed;
+  const shared = () => ({timers, log, random: createRandom(++lastSeed)});
+  const makeHello = (kind: ProcessKind, name: string): Hello => ({
     kind,
     name,
     failureDomain: 'a',
     region: 'r',
   });
 
-  async function serve(
+  async function startHome(
     self: Hello,
     source: SectionSource,
     barrier: DistributorOptions['barrier'],
     asOf: () => number | undefined,
     options: Partial<DistributorOptions>,
-    fellows = 0,
+    peerCount = 0,
     homes: () => readonly HomeAddress[] = () => [],
   ) {
     const {name} = self;
@@ -179,7 +179,7 @@
     const {position} = distributor;
     const fleet = createFleet({
       ...{self, timers, log, position},
-      peerCount: () => fellows,
+      peerCount: () => peerCount,
       homes,
     });
     fleet.onHello((_hello, channels) => distributor.accept(channels));
@@ -190,7 +190,7 @@
     return {name, address, distributor, fleet};
   }
 
-  function subscribe(
+  function startNode(
     self: Hello,
     homes: ReadonlyArray<Address | HomeAddress>,
     options: Partial<SubscriberOptions>,
@@ -212,41 +212,41 @@
   return {
     timers,
     network,
-    async control(name, operator, options = {}, fellows = 0, homes) {
-      const staged = {quorum: true};
+    async control(name, operator, options = {}, peerCount = 0, homes) {
+      const quorumSwitch = {quorum: true};
       const barrier = async () =>
-        staged.quorum
+        quorumSwitch.quorum
           ? success(operator.current().version)
           : failure(commonCodes.unreachable, 'no quorum');
       const freshness = createFreshnessTracker(barrier, timers);
       const source = createSectionSource(operator);
-      const self = helloOf('control', name);
-      const made = await serve(
+      const self = makeHello('control', name);
+      const served = await startHome(
         self,
         source,
         barrier,
         freshness.asOf,
         options,
-        fellows,
+        peerCount,
         homes,
       );
-      return Object.assign(staged, made);
+      return Object.assign(quorumSwitch, served);
     },
     async relay(name, sources, options = {}) {
-      const self = helloOf('relay', name);
-      const node = subscribe(self, sources, {}, {});
+      const self = makeHello('relay', name);
+      const node = startNode(self, sources, {}, {});
       const {subscriber, home} = node;
-      const made = await serve(
+      const served = await startHome(
         self,
         subscriber.sections,
         subscriber.barrier,
         home.asOf,
         options,
       );
-      home.onChannels(made.fleet.report);
-      return {quorum: true, ...made, ...node};
+      home.onChannels(served.fleet.report);
+      return {quorum: true, ...served, ...node};
     },
     node: (name, homes, options = {}, homeOptions = {}) =>
-      subscribe(helloOf('node', name), homes, options, homeOptions),
+      startNode(makeHello('node', name), homes, options, homeOptions),
   };
 }
--- a/src/distribution/freshness-marks.ts
+++ b/src/distribution/freshness-marks.ts
@@ -13,7 +13,7 @@
    * Discards what is known of the previous home and starts with the first mark
    * of another.
    */
-  reset(first: FreshnessMark): void;
+  begin(first: FreshnessMark): void;
   /** Returns the next ping to send. */
   ping(): Ping;
   /**
@@ -100,7 +100,7 @@
   }
 
   return {
-    reset(first) {
+    begin(first) {
       attachedAt = clock.now();
       last = first;
       behindSince = undefined;
--- a/src/distribution/home-probe.ts
+++ b/src/distribution/home-probe.ts
@@ -62,18 +62,18 @@
   function ping(openedLink: Link): void {
     link = openedLink;
     const channels = createChannels(openedLink);
-    const fleet = channels.on('fleet');
+    const fleetChannel = channels.on('fleet');
     const sentAt = timers.now();
     timeoutTimer = timers.after(timeout, () => fail('no answer in time'));
     channels.onClose(() => fail('the link was closed'));
-    fleet.onMessage(body => {
+    fleetChannel.onMessage(body => {
       const message = body as FleetMessage;
       if (isFinished || message.kind !== 'pong') return;
       end();
       const mark = freshnessMarkOf(message, sentAt);
       options.onAnswer({home, name: message.home, channels, mark});
     });
-    fleet.send({kind: 'ping', number: 0});
+    fleetChannel.send({kind: 'ping', number: 0});
   }
 
   network.connect(home.address).then(
--- a/src/distribution/home-search.ts
+++ b/src/distribution/home-search.ts
@@ -26,7 +26,7 @@
    * counts from 0 since the search started.
    */
   readonly tryAttach: (candidate: HomeCandidate, round: number) => boolean;
-  /** Called when a home can not be connected to or does not answer. */
+  /** Called when a home cannot be connected to or does not answer. */
   readonly onFailure: (home: HomeAddress) => void;
   /**
    * Returns the milliseconds until the next round; undefined to end the search.
@@ -40,7 +40,7 @@
    * Starts a round after `delay` milliseconds. Probes that are in progress
    * still count; the homes to probe next are determined anew.
    */
-  start(delay: number): void;
+  begin(delay: number): void;
   /** Whether a round is running or scheduled. */
   isActive(): boolean;
   /** Ends the search and cancels its probes. */
@@ -108,7 +108,7 @@
         receive(candidate);
       },
       onFailure(problem) {
-        log.debug('no answer of home', {home: home.address, problem});
+        log.debug('home did not answer the probe', {home: home.address, problem});
         probes.delete(home.address);
         options.onFailure(home);
         probeNext();
@@ -127,7 +127,7 @@
   }
 
   return {
-    start(delay) {
+    begin(delay) {
       round = 0;
       timer?.cancel();
       timer = timers.after(delay, startRound);
--- a/src/distribution/home-selector.ts
+++ b/src/distribution/home-selector.ts
@@ -68,7 +68,7 @@
     isNearer: (home, than) => knownHomes.rankOf(home) < knownHomes.rankOf(than),
     /**
      * The suspicion grows longer while no home confirms the local state, as
-     * with a node that can not read what it receives: trying all homes in turn
+     * with a node that cannot read what it receives: trying all homes in turn
      * would only load them.
      */
     suspect(home) {
--- a/src/distribution/in-force.test.ts
+++ b/src/distribution/in-force.test.ts
@@ -2,23 +2,25 @@
 import {createOperator, createTestCluster} from './fakes/test-cluster.js';
 import type {TestHome} from './fakes/test-cluster.js';
 
-/** Milliseconds from acceptance within which a change is promised to be in force. */
-const promised = 2000;
+/**
+ * Maximum milliseconds from the acceptance of a change until it is in force.
+ */
+const maxDelay = 2000;
 
-/** The same where links are slow; what the whole fleet is designed for. */
-const promisedAtSize = 5000;
+/** The same on slow links, which is the design limit for the whole fleet. */
+const maxDelayOnSlowLinks = 5000;
 
-/** A node's periods where that is promised. */
+/** Periods of a node with which `maxDelay` holds. */
 const periods = {heartbeat: 400, freshness: 1200, maxReconnectDelay: 300};
 
-/** Milliseconds between the moments at which a fault is tried. */
-const step = 40;
+/** Milliseconds between the moments at which a fault is injected. */
+const faultStep = 40;
 const names = ['control-1', 'control-2', 'control-3'];
-const offsets = Array.from({length: 30}, (_, index) => index * step);
+const offsets = Array.from({length: 30}, (_, index) => index * faultStep);
 
-/** A node, its homes in the order in which it prefers them, and their operator. */
+/** Starts a node, its homes in its order of preference, and their operator. */
 async function attachNode(offset: number) {
-  const stage = createTestCluster();
+  const cluster = createTestCluster();
   const operator = createOperator();
   operator.accept({put: ['crewbook']});
   const homes: TestHome[] = [];
@@ -29,29 +31,32 @@
       if (!isolated.has(index)) shown = operator.current();
       return shown;
     };
-    homes.push(await stage.control(name, {...operator, current}));
+    homes.push(await cluster.control(name, {...operator, current}));
   }
-  const places = ['a', 'b', 'c'].map((failureDomain, index) => ({
+  const addresses = ['a', 'b', 'c'].map((failureDomain, index) => ({
     address: homes[index]!.address,
     failureDomain,
     ...(index === 1 && {region: 'r'}),
   }));
-  const node = stage.node('node-1', places, {}, periods);
-  await stage.timers.advanceAsync(3000 + offset);
+  const node = cluster.node('node-1', addresses, {}, periods);
+  await cluster.timers.advanceAsync(3000 + offset);
   if (node.home.address() !== homes[0]!.address) throw new Error('not nearest');
-  const still = new Set<string>();
-  stage.network.decide(source => (still.has(source) ? 'hold' : 'deliver'));
+  const suspended = new Set<string>();
+  cluster.network.decide(source => (suspended.has(source) ? 'hold' : 'deliver'));
 
   return {
-    stage,
+    cluster,
     node,
     homes,
-    /** Nothing passes between the node and this process, and no end is told. */
+    /**
+     * Drops all messages between the node and this process, without closing
+     * links.
+     */
     cut(name: string): void {
-      stage.network.cut('node-1', name);
-      stage.network.cut(name, 'node-1');
+      cluster.network.cut('node-1', name);
+      cluster.network.cut(name, 'node-1');
     },
-    /** No quorum answers the home, and it learns of no change. */
+    /** Cuts a home off from the quorum and from all changes. */
     isolate(index: number): void {
       isolated.add(index);
       homes[index]!.quorum = false;
@@ -60,42 +65,50 @@
       isolated.delete(index);
       homes[index]!.quorum = true;
     },
-    /** The process takes connections and says nothing. */
-    standStill: (name: string) => void still.add(name),
-    /** Milliseconds until a change that is accepted now is in force. */
+    /**
+     * Suspends a process: its connections are accepted and it sends nothing.
+     */
+    suspend: (name: string) => void suspended.add(name),
+    /**
+     * Accepts a change; resolves with the milliseconds until it is in force.
+     */
     async accept(): Promise<number> {
       operator.accept({put: ['crewbook']});
-      const acceptedAt = stage.timers.now();
+      const acceptedAt = cluster.timers.now();
       const {version} = operator.current();
       while (node.subscriber.current()!.version < version) {
-        await stage.timers.advanceAsync(10);
-        if (stage.timers.now() - acceptedAt > 20_000) break;
+        await cluster.timers.advanceAsync(10);
+        if (cluster.timers.now() - acceptedAt > 20_000) break;
       }
-      return stage.timers.now() - acceptedAt;
+      return cluster.timers.now() - acceptedAt;
     },
   };
 }
 
 type Attached = Awaited<ReturnType<typeof attachNode>>;
 
-/** The longest time to a change in force, over the moments of the fault. */
-async function longest(fault: (attached: Attached) => Promise<void> | void) {
-  let most = 0;
+/**
+ * Returns the longest time until a change is in force, over all moments of the
+ * fault.
+ */
+async function findLongestDelay(fault: (attached: Attached) => Promise<void> | void) {
+  let longestDelay = 0;
   for (const offset of offsets) {
     const attached = await attachNode(offset);
     await fault(attached);
-    most = Math.max(most, await attached.accept());
+    longestDelay = Math.max(longestDelay, await attached.accept());
   }
-  return most;
+  return longestDelay;
 }
 
 const faults: Array<[string, (attached: Attached) => Promise<void> | void]> = [
   ['its home cut off from it', ({cut}) => cut('control-1')],
-  ['its home standing still', ({standStill}) => standStill('control-1')],
+  ['its home suspended', ({suspend}) => suspend('control-1')],
   ['its home cut off from the quorum', ({isolate}) => isolate(0)],
-  // Callers are sent where operators no longer want them, for 3 s and more.
-  // The node notices that its home is silent, then waits for a connection that
-  // a cut swallows, then for a delay, and only then asks the home that works.
+  // Guards against a change that is 3 s late or more, during which callers are
+  // routed by the old version: the node detects that its home is silent, then
+  // waits for a connection attempt without an answer, then for a backoff delay,
+  // and only then tries the home that works.
   [
     'two of three homes cut off from it',
     ({cut}) => {
@@ -103,31 +116,32 @@
       cut('control-2');
     },
   ],
-  // The same with processes that stand still: the operating system takes the
-  // connection, so the node counts itself attached and waits for silence anew.
+  // The same with suspended processes: the operating system accepts the
+  // connection, so the node counts as attached and waits for silence again.
   [
-    'two of three homes standing still',
-    ({standStill}) => {
-      standStill('control-1');
-      standStill('control-2');
+    'two of three homes suspended',
+    ({suspend}) => {
+      suspend('control-1');
+      suspend('control-2');
     },
   ],
   [
-    'its home without a quorum and the next one standing still',
-    ({isolate, standStill}) => {
+    'its home without a quorum and the next one suspended',
+    ({isolate, suspend}) => {
       isolate(0);
-      standStill('control-2');
+      suspend('control-2');
     },
   ],
-  // The leading process stands still, which is nobody's home here. Until another
-  // leads no home has a fresh mark. The node leaves a home that works for the
-  // one that stands still, and is without any when the next change is accepted.
+  // Guards against a node that leaves a working home for a suspended one. The
+  // leader is suspended, which is not the home of the node; until there is
+  // another leader no home has a fresh mark. The node is then without a home
+  // when the next change is accepted.
   [
-    'its home working all the while that another one leads',
-    async ({isolate, rejoin, stage, standStill}) => {
-      standStill('control-2');
+    'its home working while a new leader is elected',
+    async ({isolate, rejoin, cluster, suspend}) => {
+      suspend('control-2');
       for (const index of names.keys()) isolate(index);
-      await stage.timers.advanceAsync(1300);
+      await cluster.timers.advanceAsync(1300);
       rejoin(0);
       rejoin(2);
     },
@@ -136,51 +150,53 @@
 
 for (const [title, fault] of faults) {
   test(`a change is in force in time with ${title}`, async t => {
-    const most = await longest(fault);
-    t.true(most <= promised, `${most} ms`);
+    const longestDelay = await findLongestDelay(fault);
+    t.true(longestDelay <= maxDelay, `${longestDelay} ms`);
   });
 }
 
-// All homes have old marks for a while, as when no process leads. A node that
-// leaves its home then finds none that is better, and has no link meanwhile.
+// Guards against a node that has no link because it left its home although no
+// other was better, when all homes have old marks for a while, for example
+// without a leader.
 test('a node keeps its home while no other has a fresher mark', async t => {
-  const {homes, node, stage} = await attachNode(0);
+  const {homes, node, cluster} = await attachNode(0);
   let links = 0;
   node.home.onChannels(() => links++);
   for (const home of homes) home.quorum = false;
-  await stage.timers.advanceAsync(5000);
-  t.is(links, 1, 'the link that it had');
+  await cluster.timers.advanceAsync(5000);
+  t.is(links, 1, 'the first link');
 });
 
-// Large bodies fill the link of one VM, so that all that its node sends and
-// gets waits behind them. The node takes its home for one that is silent or
-// cut off, goes to another and another, over the same link, and asks each for
-// its state. What comes over the link that it has is late, but the first.
+// Guards against a node that takes its home for silent or cut off because large
+// bodies fill the link of its own VM, so that all its messages are late. It
+// would change from home to home over the same link and request its state from
+// each.
 for (const extra of [200, 350, 500, 700]) {
   test(`a node whose own link takes ${extra} ms more each way keeps its home`, async t => {
-    const {accept, node, stage} = await attachNode(0);
+    const {accept, node, cluster} = await attachNode(0);
     let links = 0;
     node.home.onChannels(() => links++);
-    stage.network.slow('node-1', extra);
-    let most = 0;
+    cluster.network.slow('node-1', extra);
+    let longestDelay = 0;
     for (let change = 0; change < 20; change++) {
-      most = Math.max(most, await accept());
-      await stage.timers.advanceAsync(500);
+      longestDelay = Math.max(longestDelay, await accept());
+      await cluster.timers.advanceAsync(500);
     }
-    t.is(links, 1, 'the link that it had');
-    t.true(most <= promised, `${most} ms`);
+    t.is(links, 1, 'the first link');
+    t.true(longestDelay <= maxDelay, `${longestDelay} ms`);
   });
 }
 
-// The same link, and the home is gone as well. The others answer late, and what
-// they say of themselves is old by the time that it comes.
+// Guards against a node that rejects all other homes on such a link after its
+// home failed: they answer late, and the freshness that they report is old on
+// arrival.
 for (const extra of [350, 700]) {
   test(`a node whose own link takes ${extra} ms more each way finds another home`, async t => {
-    const {accept, cut, stage} = await attachNode(0);
-    stage.network.slow('node-1', extra);
-    await stage.timers.advanceAsync(3000);
+    const {accept, cut, cluster} = await attachNode(0);
+    cluster.network.slow('node-1', extra);
+    await cluster.timers.advanceAsync(3000);
     cut('control-1');
     const elapsed = await accept();
-    t.true(elapsed <= promisedAtSize, `${elapsed} ms`);
+    t.true(elapsed <= maxDelayOnSlowLinks, `${elapsed} ms`);
   });
 }
--- a/src/distribution/rendezvous.test.ts
+++ b/src/distribution/rendezvous.test.ts
@@ -14,13 +14,13 @@
 const rank = (name: string, from = homes) =>
   rankHomes({name, failureDomain: 'a', region: 'north'}, from);
 
-test('own failure domain comes first, then own region, then the rest', t => {
+test('homes of the same failure domain come first, then those of the region, then the others', t => {
   const order = rank('node-1').map(home => home.failureDomain);
   const expected = ['a', 'b', 'c'].flatMap(name => Array(4).fill(name));
   t.deepEqual(order, expected);
 });
 
-test('a lost home spreads its nodes over the others and moves no other', t => {
+test('the nodes of a lost home spread over the others and no other node moves', t => {
   const rest = homes.filter(home => home.address !== 'a:0');
   const moved = new Map<string, number>();
   for (let node = 0; node < 1000; node++) {
--- a/src/distribution/section-source.test.ts
+++ b/src/distribution/section-source.test.ts
@@ -12,8 +12,11 @@
 
 const routeCount = 1_700;
 
-/** A machine with a service of many routes, and the sections of its state. */
-function createTrial() {
+/**
+ * Creates a machine with a service of many routes, and the sections of its
+ * state.
+ */
+function createLargeService() {
   const machine = createSampleMachine();
   const source = createSectionSource(machine);
   let index = 0;
@@ -30,9 +33,9 @@
   }
 
   put(putService('records'), putPolicy('lookups'));
-  const {edits: most} = defaults.limits;
-  for (let at = 0; at < routeCount; at += most) {
-    const count = Math.min(most, routeCount - at);
+  const {edits: maxEdits} = defaults.limits;
+  for (let at = 0; at < routeCount; at += maxEdits) {
+    const count = Math.min(maxEdits, routeCount - at);
     const numbers = Array.from({length: count}, (_, more) => at + more);
     put(...numbers.map(one => putRoute(`r-${one}`, 'records', 'lookups')));
   }
@@ -48,31 +51,31 @@
   return bytes;
 }
 
-// A node handles by an old version a second after the others. A change of one
-// route sent each node its service's whole section, 87 kB and more where a
-// service has 800 routes: in a storm of changes the pushes filled a third of a
-// node's link, and control spent its time on packing and sending them.
-test('a change of one route costs a node no more bytes where there are many', t => {
-  const {put, state} = createTrial();
+// Guards against a node that applies a version a second after the others. If a
+// change of one route sent each node the whole section of its service, 87 kB
+// and more with 800 routes, the pushes of many changes would fill a third of
+// the link of a node, and control would be busy with packing and sending them.
+test('the change of one route of many sends few bytes to a node', t => {
+  const {put, state} = createLargeService();
   const next = put(putRoute('r-7', 'records', 'lookups', '/elsewhere'));
   const bytes = bytesOfChanged(state, next);
   t.true(bytes > 0 && bytes < 16_000, `${bytes} bytes`);
 });
 
-// The leader of a group that has just got its first configuration is taken for
-// dead. It applied 2,400 routes and packed their sections in one turn; beats that
-// lay in its sockets meanwhile were read after the election.
-test('a change is applied in one turn and packed in the next', async t => {
+// Guards against an election because the leader of a group seems dead after its
+// first configuration. It applied 2,400 routes and packed their sections in one
+// turn; heartbeats that arrived meanwhile were read only after the election.
+test('a change is applied in one turn and packed in a later one', async t => {
   const machine = createSampleMachine();
   const source = deferNotifications(createSectionSource(machine));
-  let told = 0;
-  source.onChange(() => told++);
+  let notifications = 0;
+  source.onChange(() => notifications++);
   const edits = [putService('records')];
   const command = {operator: 'amina', sequence: 1, edits};
   machine.apply(1, machine.prepare(command, 0));
-  t.is(told, 0);
+  t.is(notifications, 0);
   await nextTurn();
   await nextTurn();
-  t.is(told, 1);
+  t.is(notifications, 1);
   t.is(source.current()!.version, 1);
 });
--- a/src/distribution/section.test.ts
+++ b/src/distribution/section.test.ts
@@ -20,7 +20,6 @@
   return {name, prefix: `/${name}`, methods: [], service, policy: 'lookups'};
 }
 
-/** A configuration of a service with many routes and one with few. */
 const quarantine: Quarantine = {
   name: 'a'.repeat(32),
   service: 'records',
@@ -32,6 +31,7 @@
   trials: 0,
 };
 
+/** Returns a configuration of a service with many routes and one with few. */
 function makeConfiguration(version: number, count: number): Configuration {
   const records = Array.from({length: count}, (_, at) =>
     makeRoute(`r-${at}`, 'records'),
@@ -74,7 +74,7 @@
   return makePush(state, 1, digestCovered(state, services), names, isWhole);
 }
 
-function take(
+function applyPush(
   held: HeldState | undefined,
   push: ReturnType<typeof pushTo>,
   services: readonly string[] | 'all',
@@ -87,11 +87,11 @@
 const namesCovered = (state: SectionState, services: readonly string[]) =>
   [...coveredSections(state, services)].map(([name]) => name);
 
-test('a service of many routes is put together again from its parts', t => {
+test('a service with many routes is joined again from its parts', t => {
   const configuration = makeConfiguration(1, 500);
   const state = stateOf(configuration);
   t.true(state.sections.size > 2);
-  const held = take(
+  const held = applyPush(
     undefined,
     pushTo(state, 'all', state.sections.keys(), true),
     'all',
@@ -105,7 +105,7 @@
   t.deepEqual(held.configuration.quarantines, configuration.quarantines);
 });
 
-test('an interest in a service covers all its parts, and no other service', t => {
+test('an interest in a service covers all its parts and no other service', t => {
   const state = stateOf(makeConfiguration(1, 500));
   const names = namesCovered(state, ['records']);
   t.is(names.length, state.sections.size - 1);
@@ -114,10 +114,10 @@
   t.deepEqual(selectCoveredNames(changed, ['uploads']), ['uploads']);
 });
 
-// A service outgrows its number of parts, and shrinks again later: each route
-// moves to another part. A part that stayed behind would bring back routes that
-// are gone, or have one twice.
-test('a node follows when a service changes its number of parts', t => {
+// Guards against routes that are kept twice or after their removal. A service
+// grows beyond its number of parts and later shrinks, so that routes move
+// between parts; a part that is not removed would still contain them.
+test('a node has the right routes after a service changes its number of parts', t => {
   let held: HeldState | undefined;
   for (const [at, count] of [60, 500, 130, 3].entries()) {
     const configuration = makeConfiguration(at + 1, count);
@@ -125,7 +125,7 @@
     const before = [...(held?.sections.keys() ?? [])];
     const changed = new Set([...before, ...state.sections.keys()]);
     const names = selectCoveredNames(changed, ['records']);
-    held = take(held, pushTo(state, ['records'], names, false), ['records']);
+    held = applyPush(held, pushTo(state, ['records'], names, false), ['records']);
     const records = [...configuration.routes.values()].filter(
       ({service}) => service === 'records',
     );
--- a/src/fleet/fleet.ts
+++ b/src/fleet/fleet.ts
@@ -20,68 +20,78 @@
 import {joinSummaries} from './summary.js';
 import type {FleetSummary} from './summary.js';
 
-/** Settings of a fleet. */
+/** Options of createFleet. */
 export interface FleetOptions {
   readonly self: Hello;
   readonly timers: Timers;
   readonly log: Log;
-  /** What pings are answered with. */
+  /** The position that answers to pings report. */
   readonly position: () => HomePosition;
-  /** How many fellow homes tell this one of their nodes; default none. */
+  /**
+   * Number of peer homes that report their nodes to this home; default none.
+   */
   readonly peerCount?: () => number;
-  /** Homes that nodes are told of besides their settings; default none. */
+  /** Homes that nodes may use in addition to their settings; default none. */
   readonly homes?: () => readonly HomeAddress[];
 }
 
-/** The nodes and fellow homes of one home. */
+/** The nodes and peer homes of one home. */
 export interface Fleet {
-  /** Takes an accepted link: hello, heartbeats, acknowledgements. */
+  /** Handles an accepted link: hello, heartbeats and acknowledgements. */
   accept(channels: Channels): void;
-  /** Calls `observe` when an accepted link has introduced itself. */
+  /** Calls `observe` after the hello of an accepted link. */
   onHello(observe: (hello: Hello, channels: Channels) => void): void;
-  /** Sends this home's reports over a link that it opened itself. */
+  /** Sends the reports of this home over a link that it opened itself. */
   report(channels: Channels): void;
-  /** Takes a report that came over a link that this home opened itself. */
+  /** Handles a report received over a link that this home opened itself. */
   receiveReport(report: Report): void;
-  /** What is in force where, for `version`; by default this home's own. */
+  /**
+   * Returns what is in force in each failure domain, for `version`; by default
+   * the version of this home.
+   */
   summary(version?: number): FleetSummary;
   stop(): void;
 }
 
 const noHomes: readonly HomeAddress[] = [];
 
-interface Received {
+/** A summary received from another home. */
+interface ReceivedSummary {
   readonly summary: HomeSummary;
-  /** Local time at which the summary was made, as far as is known. */
+  /**
+   * Local time at which the summary was made, computed from the age that it
+   * reports.
+   */
   readonly madeAt: number;
 }
 
 /** Creates the fleet of one home. */
 export function createFleet(options: FleetOptions): Fleet {
   const {self, timers, log, position} = options;
-  const roster = createNodeTable(timers);
-  const received = new Map<string, Received>();
+  const nodes = createNodeTable(timers);
+  const received = new Map<string, ReceivedSummary>();
   const moves = createNodeMoves(timers);
   const startedAt = timers.now();
-  /** Homes that this one speaks for: relays below it. */
-  const below = new Set<string>();
-  const observers: Array<(hello: Hello, channels: Channels) => void> = [];
-  const upstreams = new Set<Channel>();
-  /** What links were told of this home and others, which is not said again. */
-  const told = new WeakMap<Channel, readonly HomeAddress[]>();
-  let changed = false;
+  /** Relays below this home, whose summaries it forwards. */
+  const relays = new Set<string>();
+  const helloObservers: Array<(hello: Hello, channels: Channels) => void> = [];
+  const reportChannels = new Set<Channel>();
+  /** The homes last sent over each link, which are not sent again. */
+  const sentHomes = new WeakMap<Channel, readonly HomeAddress[]>();
+  let isChanged = false;
   let reportedAt = Number.NEGATIVE_INFINITY;
 
   function accept(channels: Channels): void {
-    const fleet = channels.on('fleet');
+    const channel = channels.on('fleet');
     let name = channels.link.peer;
     const watch = watchSilence(channels, () => name);
-    receiveHello(fleet, {
-      // Other homes are not told: a fellow that asks keeps its link to this one.
-      answer: ping => answer(fleet, ping, noHomes),
+    receiveHello(channel, {
+      // A probe is not answered with other homes: a peer home that probes this
+      // one keeps its link to just this one.
+      answer: ping => answer(channel, ping, noHomes),
       acceptHello(hello) {
         name = hello.name;
-        return greet(hello, channels, watch);
+        return acceptLink(hello, channels, watch);
       },
       reject() {
         log.warn('link without a hello', {peer: channels.link.peer});
@@ -90,27 +100,30 @@
     });
   }
 
-  function greet(
+  function acceptLink(
     hello: Hello,
     channels: Channels,
     watch: SilenceWatch,
   ): (message: FleetMessage) => void {
     const receiveFrom =
       hello.kind === 'node'
-        ? greetNode(hello, channels)
-        : greetHome(hello, channels);
-    for (const observe of observers) observe(hello, channels);
+        ? acceptNode(hello, channels)
+        : acceptPeer(hello, channels);
+    for (const observe of helloObservers) observe(hello, channels);
     return message => {
       watch.hear();
       receiveFrom(message);
     };
   }
 
-  /** A link that died without a word keeps its end open; silence tells. */
+  /**
+   * A link that failed without being closed stays open at this end; it is
+   * recognized by its silence.
+   */
   function watchSilence(channels: Channels, name: () => string): SilenceWatch {
-    const {silence} = fleetLimits;
-    const watch = createSilenceWatch(timers, silence / 2, silence);
-    const timer: Subscription = timers.every(silence / 2, () => {
+    const {silenceTimeout} = fleetLimits;
+    const watch = createSilenceWatch(timers, silenceTimeout / 2, silenceTimeout);
+    const timer: Subscription = timers.every(silenceTimeout / 2, () => {
       if (watch.look() !== 'silent') return;
       timer.cancel();
       log.warn('link is silent', {name: name()});
@@ -120,53 +133,53 @@
     return watch;
   }
 
-  function greetNode(hello: Hello, channels: Channels) {
-    const member = roster.add(hello, channels);
+  function acceptNode(hello: Hello, channels: Channels) {
+    const node = nodes.add(hello, channels);
     moves.addArrival(hello);
-    changed = true;
+    isChanged = true;
     channels.onClose(() => {
-      roster.markLost(member);
-      changed = true;
+      nodes.markLost(node);
+      isChanged = true;
     });
-    const fleet = channels.on('fleet');
-    return (message: FleetMessage) => receiveFromNode(member, fleet, message);
+    const channel = channels.on('fleet');
+    return (message: FleetMessage) => receiveFromNode(node, channel, message);
   }
 
   function receiveFromNode(
-    member: NodeEntry,
-    fleet: Channel,
+    node: NodeEntry,
+    channel: Channel,
     message: FleetMessage,
   ): void {
-    member.lastMessageAt = timers.now();
+    node.lastMessageAt = timers.now();
     switch (message.kind) {
       case 'ping':
-        acknowledge(member, message.version);
-        answer(fleet, message, homes());
+        acknowledge(node, message.version);
+        answer(channel, message, homes());
         break;
       case 'acknowledgement':
-        acknowledge(member, message.version);
+        acknowledge(node, message.version);
         break;
       case 'goodbye':
-        roster.remove(member);
-        changed = true;
+        nodes.remove(node);
+        isChanged = true;
         break;
     }
   }
 
-  function acknowledge(member: NodeEntry, version: number | undefined): void {
-    if (version === undefined || version === member.version) return;
-    member.version = Math.max(version, member.version ?? version);
-    changed = true;
+  function acknowledge(node: NodeEntry, version: number | undefined): void {
+    if (version === undefined || version === node.version) return;
+    node.version = Math.max(version, node.version ?? version);
+    isChanged = true;
   }
 
-  function greetHome(hello: Hello, channels: Channels) {
-    const fleet = channels.on('fleet');
+  function acceptPeer(hello: Hello, channels: Channels) {
+    const channel = channels.on('fleet');
     if (hello.kind === 'control') report(channels);
-    if (hello.kind === 'relay') below.add(hello.name);
+    if (hello.kind === 'relay') relays.add(hello.name);
     return (message: FleetMessage) => {
-      // A fellow keeps its link to just this home.
-      const others = hello.kind === 'control' ? noHomes : homes();
-      if (message.kind === 'ping') answer(fleet, message, others);
+      // A peer home keeps its link to just this home.
+      const otherHomes = hello.kind === 'control' ? noHomes : homes();
+      if (message.kind === 'ping') answer(channel, message, otherHomes);
       if (message.kind === 'report') receive(message);
     };
   }
@@ -174,94 +187,94 @@
   const homes = () => options.homes?.() ?? noHomes;
 
   function answer(
-    fleet: Channel,
+    channel: Channel,
     ping: Ping,
-    others: readonly HomeAddress[],
+    otherHomes: readonly HomeAddress[],
   ): void {
     const {version, asOf} = position();
-    const known = told.get(fleet);
-    fleet.send({
+    const previous = sentHomes.get(channel);
+    channel.send({
       kind: 'pong',
       number: ping.number,
-      ...(known === undefined && {home: self.name}),
-      ...(known !== others && others.length > 0 && {homes: others}),
+      ...(previous === undefined && {home: self.name}),
+      ...(previous !== otherHomes && otherHomes.length > 0 && {homes: otherHomes}),
       ...(asOf !== undefined && {age: Math.ceil(timers.now() - asOf)}),
       ...(version !== undefined && {version}),
     });
-    told.set(fleet, others);
+    sentHomes.set(channel, otherHomes);
   }
 
   function report(channels: Channels): void {
-    const fleet = channels.on('fleet');
-    upstreams.add(fleet);
-    channels.onClose(() => upstreams.delete(fleet));
-    changed = true;
+    const channel = channels.on('fleet');
+    reportChannels.add(channel);
+    channels.onClose(() => reportChannels.delete(channel));
+    isChanged = true;
   }
 
   function receive(message: Report): void {
     for (const summary of message.summaries) {
       const madeAt = timers.now() - summary.age;
-      const known = received.get(summary.home);
-      if (known !== undefined && known.madeAt > madeAt) continue;
+      const previous = received.get(summary.home);
+      if (previous !== undefined && previous.madeAt > madeAt) continue;
       received.set(summary.home, {summary, madeAt});
       moves.addArrivals(summary);
       moves.removeOutdated(summary.home, madeAt);
-      if (below.has(summary.home)) changed = true;
+      if (relays.has(summary.home)) isChanged = true;
     }
   }
 
-  /** Whether all who speak for nodes have had their say. */
+  /** Whether all homes that report nodes have done so. */
   function isSettled(): boolean {
     const age = timers.now() - startedAt;
-    if (age >= fleetLimits.fellowsAwaited) return true;
-    const heard = [...received.keys()].filter(name => !below.has(name));
-    const isComplete = heard.length >= (options.peerCount?.() ?? 0);
-    return isComplete && age >= fleetLimits.settling;
+    if (age >= fleetLimits.peerTimeout) return true;
+    const reporting = [...received.keys()].filter(name => !relays.has(name));
+    const isComplete = reporting.length >= (options.peerCount?.() ?? 0);
+    return isComplete && age >= fleetLimits.linkSetupTime;
   }
 
-  function own(): HomeSummary {
-    return roster.summarize(self.name, position().version ?? 0);
+  function summarizeNodes(): HomeSummary {
+    return nodes.summarize(self.name, position().version ?? 0);
   }
 
-  function aged({summary, madeAt}: Received): HomeSummary {
+  function withAge({summary, madeAt}: ReceivedSummary): HomeSummary {
     return {...summary, age: timers.now() - madeAt};
   }
 
   function sendReports(): void {
-    roster.removeExpired();
-    dropOld();
+    nodes.removeExpired();
+    dropExpired();
     const now = timers.now();
-    const isDue = changed || now - reportedAt >= fleetLimits.reportIdle;
-    if (!isDue || upstreams.size === 0) return;
-    changed = false;
+    const isReportDue = isChanged || now - reportedAt >= fleetLimits.maxReportInterval;
+    if (!isReportDue || reportChannels.size === 0) return;
+    isChanged = false;
     reportedAt = now;
-    const relays = [...below]
+    const relaySummaries = [...relays]
       .map(name => received.get(name))
       .filter(one => one !== undefined);
-    const summaries = [own(), ...relays.map(aged)];
-    for (const fleet of upstreams) fleet.send({kind: 'report', summaries});
+    const summaries = [summarizeNodes(), ...relaySummaries.map(withAge)];
+    for (const channel of reportChannels) channel.send({kind: 'report', summaries});
   }
 
-  function dropOld(): void {
-    const oldest = timers.now() - fleetLimits.summaryDropped;
+  function dropExpired(): void {
+    const oldest = timers.now() - fleetLimits.summaryRetention;
     for (const [name, {madeAt}] of received) {
       if (madeAt > oldest) continue;
       log.warn('home dropped from the summary', {home: name});
       received.delete(name);
       moves.remove(name);
-      below.delete(name);
+      relays.delete(name);
     }
   }
 
-  const timer = timers.every(fleetLimits.reportPeriod, sendReports);
+  const timer = timers.every(fleetLimits.minReportInterval, sendReports);
 
   return {
     accept,
-    onHello: observe => void observers.push(observe),
+    onHello: observe => void helloObservers.push(observe),
     report,
     receiveReport: receive,
     summary(version = position().version ?? 0) {
-      const homes = [own(), ...[...received.values()].map(aged)];
+      const homes = [summarizeNodes(), ...[...received.values()].map(withAge)];
       return joinSummaries(version, homes, moves.list(), isSettled());
     },
     stop: () => timer.cancel(),
--- a/src/fleet/hello.ts
+++ b/src/fleet/hello.ts
@@ -3,23 +3,25 @@
 
 const kinds: readonly ProcessKind[] = ['node', 'relay', 'control'];
 
-/** What becomes of the messages of a link before and after its hello. */
+/** Handlers of the messages of a link before and after its hello. */
 export interface HelloReceiver {
-  /** Someone asks how fresh this home is before they depend on it. */
+  /**
+   * Answers a probe: a process asks how fresh this home is before it attaches.
+   */
   answer(ping: Ping): void;
-  /** Returns the receiver of what comes after the hello. */
+  /** Accepts a hello; returns the receiver of all later messages. */
   acceptHello(hello: Hello): (message: FleetMessage) => void;
-  /** Something else came. */
+  /** Rejects a link whose first message is neither a hello nor a ping. */
   reject(): void;
 }
 
 /**
- * Receives one accepted link's fleet plane: before its hello there may only be
- * pings, or the link is refused.
+ * Receives the fleet plane of an accepted link. Only pings may precede the
+ * hello; after any other message the link is rejected.
  */
 export function receiveHello(
   channel: Channel,
-  {answer, acceptHello: greet, reject: refuse}: HelloReceiver,
+  {answer, acceptHello, reject}: HelloReceiver,
 ): void {
   let receive: ((message: FleetMessage) => void) | undefined;
   channel.onMessage(body => {
@@ -27,9 +29,9 @@
       receive(body as FleetMessage);
       return;
     }
-    if (isHello(body)) receive = greet(body);
+    if (isHello(body)) receive = acceptHello(body);
     else if (isPing(body)) answer(body);
-    else refuse();
+    else reject();
   });
 }
 
--- a/src/fleet/limits.ts
+++ b/src/fleet/limits.ts
@@ -1,30 +1,36 @@
-/** Bounds and periods of the fleet's bookkeeping; times in milliseconds. */
+/** Bounds and periods of the fleet plane; times in milliseconds. */
 export const fleetLimits = {
-  /** Silence after which a link counts as dead. */
-  silence: 3500,
+  /** Silence after which a link is considered dead. */
+  silenceTimeout: 3500,
   /** How long a lost node is counted as unknown. */
-  remembered: 30_000,
-  /** Shortest time between two reports. */
-  reportPeriod: 200,
-  /** Longest time between two reports. */
-  reportIdle: 1000,
-  /** Age after which a home's summary no longer says what is in force. */
-  summaryAge: 5000,
+  lostRetention: 30_000,
+  /** Minimum time between two reports. */
+  minReportInterval: 200,
+  /** Maximum time between two reports. */
+  maxReportInterval: 1000,
+  /** Age above which the summary of a home no longer shows what is in force. */
+  maxSummaryAge: 5000,
   /**
-   * Age after which a home's summary is dropped. A region may be cut off for
-   * many minutes; until then its nodes count as unknown.
+   * Age above which the summary of a home is dropped. A region may be cut off
+   * for many minutes; until then its nodes are counted as unknown.
+   */
+  summaryRetention: 3_600_000,
+  /** How long a home reports a node that arrived from another home. */
+  arrivalRetention: 60_000,
+  /** Time after the start within which links may not be open yet. */
+  linkSetupTime: 3000,
+  /** Time after the start for which a silent peer home is waited for. */
+  peerTimeout: 10_000,
+  /**
+   * Maximum number of names of lost nodes in a domain summary, and of arrivals
+   * in a summary.
    */
-  summaryDropped: 3_600_000,
-  /** How long a home tells of a node that came from another. */
-  arrivalTold: 60_000,
-  /** Time after the start in which links may not have been opened yet. */
-  settling: 3000,
-  /** Time after the start for which a silent fellow is waited for. */
-  fellowsAwaited: 10_000,
-  /** Names of lost nodes of a domain, and arrivals, in a summary. */
   names: 512,
-  /** Names of laggards in a summary. */
+  /** Maximum number of names of laggards in a summary. */
   laggards: 20,
-  /** Versions counted apart in each failure domain. */
+  /**
+   * Maximum number of versions that are counted separately in each failure
+   * domain.
+   */
   versions: 8,
 } as const;
--- a/src/fleet/messages.ts
+++ b/src/fleet/messages.ts
@@ -1,40 +1,48 @@
 /**
- * The messages of the fleet plane: who is at the other end, heartbeats with
- * the freshness mark, and acknowledgements. Times are in milliseconds.
+ * The messages of the fleet plane: the identity of each process, heartbeats
+ * with the freshness mark, and acknowledgements. Times are in milliseconds.
  */
 
 import type {Address} from '../link/link.js';
 
-/** What a process of the system is. */
+/** The role of a process. */
 export type ProcessKind = 'node' | 'relay' | 'control';
 
-/** From the end that opened a link; only pings may come before. */
+/**
+ * First message of the process that opened a link; only pings may precede it.
+ */
 export interface Hello {
   readonly kind: ProcessKind;
   readonly name: string;
   readonly failureDomain: string;
   readonly region: string;
-  /** The home that the sender had a link to before, if it had another. */
+  /**
+   * Name of the home to which the sender had a link before, if that was another
+   * one.
+   */
   readonly from?: string;
 }
 
-/** What a home tells its nodes of its own state. */
+/** The state that a home has published to its nodes. */
 export interface HomePosition {
-  /** The version last sent to all; undefined before the first. */
+  /** The version last pushed to all subscribers; undefined before the first. */
   readonly version: number | undefined;
-  /** Local time at which a quorum confirmed it; undefined if never. */
+  /**
+   * Local time at which a quorum last confirmed that version; undefined if
+   * never.
+   */
   readonly asOf: number | undefined;
 }
 
-/** Asks the home for its freshness mark and shows that the sender lives. */
+/** Requests the freshness mark of the home and serves as a heartbeat. */
 export interface Ping {
   readonly kind: 'ping';
   readonly number: number;
-  /** The version that the sender has in force; absent before the first. */
+  /** The version in force at the sender; absent before the first. */
   readonly version?: number;
 }
 
-/** A process that nodes may keep their link to. */
+/** A home that nodes may connect to. */
 export interface HomeAddress {
   readonly address: Address;
   readonly failureDomain?: string;
@@ -45,77 +53,88 @@
 export interface Pong {
   readonly kind: 'pong';
   readonly number: number;
-  /** The home's name, in the first answer on a link. */
+  /** Name of the home, in the first answer on a link. */
   readonly home?: string;
-  /** Homes besides the asker's settings, when they differ from the last told. */
+  /**
+   * Homes in addition to the settings of the receiver, if they differ from
+   * those last sent.
+   */
   readonly homes?: readonly HomeAddress[];
-  /** Milliseconds since a quorum confirmed the home's state; absent if never. */
+  /**
+   * Milliseconds since a quorum confirmed the state of the home; absent if
+   * never.
+   */
   readonly age?: number;
-  /** The version that the home last sent to all of its subscribers. */
+  /** The version that the home last pushed to all of its subscribers. */
   readonly version?: number;
 }
 
-/** Tells that a node has switched to a version. */
+/** Reports that a node has switched to a version. */
 export interface Acknowledgement {
   readonly kind: 'acknowledgement';
   readonly version: number;
 }
 
-/** Tells that a node ends the link by its own will. */
+/** Announces that a node closes the link deliberately. */
 export interface Goodbye {
   readonly kind: 'goodbye';
 }
 
-/** Nodes that have one version in force. */
+/** Number of nodes with one version in force. */
 export interface VersionCount {
   readonly version: number;
   readonly nodes: number;
 }
 
-/** What one home knows of its nodes in one failure domain; of bounded size. */
+/** State of the nodes of one home in one failure domain; of bounded size. */
 export interface DomainSummary {
   readonly failureDomain: string;
-  /** Nodes whose link is up. */
+  /** Nodes with an open link. */
   readonly nodes: number;
-  /** Nodes whose link ended without a goodbye, for a while. */
+  /** Nodes whose link was closed without a goodbye, for a limited time. */
   readonly unknown: number;
-  /** Names of such nodes; 512 at most. */
+  /** Names of such nodes; at most 512. */
   readonly lost: readonly string[];
-  /** Nodes that have nothing in force yet. */
+  /** Nodes without any version in force. */
   readonly starting: number;
-  /** Least version in force; absent when no node has one. */
+  /** Lowest version in force; absent if no node has one. */
   readonly least?: number;
-  /** Newest first; the last entry also counts nodes with older ones. */
+  /** Newest first; the last entry also counts the nodes with older versions. */
   readonly versions: readonly VersionCount[];
 }
 
-/** A node that came to a home from another one, not long ago. */
+/** A node that recently moved to a home from another one. */
 export interface Arrival {
   readonly node: string;
   readonly from: string;
   readonly failureDomain: string;
-  /** Milliseconds since it came, when the summary was made. */
+  /** Milliseconds between the arrival and the making of the summary. */
   readonly age: number;
 }
 
-/** What one home knows of its nodes; of bounded size. */
+/** State of the nodes of one home; of bounded size. */
 export interface HomeSummary {
   readonly home: string;
-  /** Milliseconds since it was made, as the sender knows it. */
+  /** Milliseconds since the summary was made, as far as the sender knows. */
   readonly age: number;
   readonly version: number;
   readonly domains: readonly DomainSummary[];
-  /** Names of nodes that lack `version`, oldest first; 20 at most. */
+  /**
+   * Names of nodes that lack `version`, those with the oldest version first; at
+   * most 20.
+   */
   readonly laggards: readonly string[];
-  /** Nodes that came from other homes; 512 at most. */
+  /** Nodes that arrived from other homes; at most 512. */
   readonly arrivals: readonly Arrival[];
 }
 
-/** Carries summaries from a home to control or between control processes. */
+/**
+ * Contains summaries, sent from a home to control or between control processes.
+ */
 export interface Report {
   readonly kind: 'report';
   readonly summaries: readonly HomeSummary[];
 }
 
-/** Any message of the fleet plane but the first. */
+/** Any message of the fleet plane except the first. */
 export type FleetMessage = Ping | Pong | Acknowledgement | Goodbye | Report;
--- a/src/fleet/node-moves.ts
+++ b/src/fleet/node-moves.ts
@@ -2,35 +2,40 @@
 import {fleetLimits} from './limits.js';
 import type {Arrival, Hello, HomeSummary} from './messages.js';
 
-/** Nodes that are known to have left one home for another. */
+/** Nodes that are known to have moved from one home to another. */
 export interface NodeMoves {
-  /** A node came here. */
+  /** Records the arrival of a node at this home. */
   addArrival(hello: Hello): void;
-  /** Takes the arrivals that a home tells of. */
+  /** Records the arrivals that the summary of a home reports. */
   addArrivals(summary: HomeSummary): void;
-  /** A home was heard itself; older moves from it say nothing new. */
+  /**
+   * Removes moves from `home` that are too old to matter, now that its own
+   * summary made at `madeAt` has been received.
+   */
   removeOutdated(home: string, madeAt: number): void;
-  /** The home is not spoken of any more. */
+  /** Removes all moves from a home whose summary was dropped. */
   remove(home: string): void;
   list(): Arrival[];
 }
 
+/** When and where a node moved. */
 interface Move {
   readonly failureDomain: string;
   readonly at: number;
 }
 
 /**
- * Remembers moves for as long as the home that was left is silent: homes tell
- * of an arrival for a minute only, and a cut may last much longer.
+ * Creates a table of moves, each kept for as long as the home that the node
+ * left is silent. A home reports an arrival for a minute only, while a
+ * partition may last much longer.
  */
 export function createNodeMoves(timers: Timers): NodeMoves {
   const moves = new Map<string, Map<string, Move>>();
 
   function set(from: string, node: string, move: Move): void {
-    const left = moves.get(from) ?? new Map<string, Move>();
-    moves.set(from, left);
-    left.set(node, move);
+    const nodes = moves.get(from) ?? new Map<string, Move>();
+    moves.set(from, nodes);
+    nodes.set(node, move);
   }
 
   return {
@@ -45,17 +50,17 @@
       }
     },
     removeOutdated(home, madeAt) {
-      const left = moves.get(home);
-      if (left === undefined) return;
-      const oldest = madeAt - fleetLimits.remembered;
-      for (const [node, {at}] of left) if (at < oldest) left.delete(node);
-      if (left.size === 0) moves.delete(home);
+      const nodes = moves.get(home);
+      if (nodes === undefined) return;
+      const oldest = madeAt - fleetLimits.lostRetention;
+      for (const [node, {at}] of nodes) if (at < oldest) nodes.delete(node);
+      if (nodes.size === 0) moves.delete(home);
     },
     remove: home => void moves.delete(home),
     list() {
       const now = timers.now();
-      return [...moves].flatMap(([from, left]) =>
-        [...left].map(([node, {failureDomain, at}]) => ({
+      return [...moves].flatMap(([from, nodes]) =>
+        [...nodes].map(([node, {failureDomain, at}]) => ({
           node,
           from,
           failureDomain,
--- a/src/fleet/node-table.ts
+++ b/src/fleet/node-table.ts
@@ -9,40 +9,41 @@
   VersionCount,
 } from './messages.js';
 
-/** A node as its home knows it. */
+/** A node with what its home knows of it. */
 export interface NodeEntry {
   readonly hello: Hello;
   readonly channels: Channels;
-  /** The version in force there, as the node itself said. */
+  /** The version in force at the node, as it reported itself. */
   version: number | undefined;
+  /** Local time of the last message. */
   lastMessageAt: number;
   readonly arrivedAt: number;
-  /** When the link ended; undefined while it is up. */
+  /** Local time at which the link was closed; undefined while it is open. */
   lostAt: number | undefined;
 }
 
 /** The nodes of one home. */
 export interface NodeTable {
   add(hello: Hello, channels: Channels): NodeEntry;
-  /** A node left by its own will. */
-  remove(member: NodeEntry): void;
-  /** A node's link ended without a word. */
-  markLost(member: NodeEntry): void;
+  /** Removes a node that closed its link deliberately. */
+  remove(node: NodeEntry): void;
+  /** Marks a node as lost, whose link was closed without a goodbye. */
+  markLost(node: NodeEntry): void;
   members(): Iterable<NodeEntry>;
-  /** Drops nodes that were lost long ago. */
+  /** Removes nodes that were lost long ago. */
   removeExpired(): void;
   summarize(home: string, version: number): HomeSummary;
 }
 
-/** Creates an empty roster. */
+/** Creates an empty node table. */
 export function createNodeTable(timers: Timers): NodeTable {
-  const members = new Map<string, NodeEntry>();
-  const isPresent = (member: NodeEntry) =>
-    members.get(member.hello.name) === member;
+  const nodes = new Map<string, NodeEntry>();
+  const isCurrent = (node: NodeEntry) =>
+    nodes.get(node.hello.name) === node;
 
   return {
     add(hello, channels) {
-      const member: NodeEntry = {
+      const node: NodeEntry = {
         hello,
         channels,
         version: undefined,
@@ -50,38 +51,38 @@
         arrivedAt: timers.now(),
         lostAt: undefined,
       };
-      members.set(hello.name, member);
-      return member;
+      nodes.set(hello.name, node);
+      return node;
     },
-    remove(member) {
-      if (isPresent(member)) members.delete(member.hello.name);
+    remove(node) {
+      if (isCurrent(node)) nodes.delete(node.hello.name);
     },
-    markLost(member) {
-      member.lostAt ??= timers.now();
+    markLost(node) {
+      node.lostAt ??= timers.now();
     },
-    members: () => members.values(),
+    members: () => nodes.values(),
     removeExpired() {
-      const oldest = timers.now() - fleetLimits.remembered;
-      for (const member of members.values()) {
-        if (member.lostAt === undefined || member.lostAt > oldest) continue;
-        members.delete(member.hello.name);
+      const oldest = timers.now() - fleetLimits.lostRetention;
+      for (const node of nodes.values()) {
+        if (node.lostAt === undefined || node.lostAt > oldest) continue;
+        nodes.delete(node.hello.name);
       }
     },
     summarize(home, version) {
       const domains = new Map<string, NodeEntry[]>();
-      for (const member of members.values()) {
-        const {failureDomain} = member.hello;
+      for (const node of nodes.values()) {
+        const {failureDomain} = node.hello;
         const group = domains.get(failureDomain);
-        if (group === undefined) domains.set(failureDomain, [member]);
-        else group.push(member);
+        if (group === undefined) domains.set(failureDomain, [node]);
+        else group.push(node);
       }
       return {
         home,
         age: 0,
         version,
         domains: [...domains].map(([name, group]) => summarize(name, group)),
-        laggards: findLaggards(members.values(), version),
-        arrivals: findArrivals(members.values(), timers.now()),
+        laggards: findLaggards(nodes.values(), version),
+        arrivals: findArrivals(nodes.values(), timers.now()),
       };
     },
   };
@@ -109,28 +110,28 @@
     lost: lost.slice(0, fleetLimits.names),
     starting,
     ...(least !== undefined && {least}),
-    versions: bound(counts),
+    versions: limitVersions(counts),
   };
 }
 
-/** Merges the oldest versions into one entry, at the least of them. */
-function bound(counts: Map<number, number>): VersionCount[] {
+/** Merges the oldest versions into one entry under the lowest of them. */
+function limitVersions(counts: Map<number, number>): VersionCount[] {
   const sorted = [...counts].sort(([left], [right]) => right - left);
   const entries = sorted.map(([version, nodes]) => ({version, nodes}));
   const kept = entries.slice(0, fleetLimits.versions - 1);
-  const rest = entries.slice(fleetLimits.versions - 1);
-  if (rest.length === 0) return kept;
-  const nodes = rest.reduce((sum, entry) => sum + entry.nodes, 0);
-  return [...kept, {version: rest[rest.length - 1]!.version, nodes}];
+  const merged = entries.slice(fleetLimits.versions - 1);
+  if (merged.length === 0) return kept;
+  const nodes = merged.reduce((sum, entry) => sum + entry.nodes, 0);
+  return [...kept, {version: merged[merged.length - 1]!.version, nodes}];
 }
 
-/** Nodes that are here and were elsewhere, the latest first. */
-function findArrivals(members: Iterable<NodeEntry>, now: number): Arrival[] {
+/** Returns the nodes that are here and came from another home, latest first. */
+function findArrivals(nodes: Iterable<NodeEntry>, now: number): Arrival[] {
   const arrivals: Arrival[] = [];
-  for (const {hello, arrivedAt, lostAt} of members) {
+  for (const {hello, arrivedAt, lostAt} of nodes) {
     const age = now - arrivedAt;
     if (hello.from === undefined || lostAt !== undefined) continue;
-    if (age > fleetLimits.arrivalTold) continue;
+    if (age > fleetLimits.arrivalRetention) continue;
     const {name, from, failureDomain} = hello;
     arrivals.push({node: name, from, failureDomain, age});
   }
@@ -138,12 +139,12 @@
   return arrivals.slice(0, fleetLimits.names);
 }
 
-function findLaggards(members: Iterable<NodeEntry>, version: number): string[] {
-  const behind: NodeEntry[] = [];
-  for (const member of members) {
-    const isBehind = member.version === undefined || member.version < version;
-    if (isBehind || member.lostAt !== undefined) behind.push(member);
+function findLaggards(nodes: Iterable<NodeEntry>, version: number): string[] {
+  const laggards: NodeEntry[] = [];
+  for (const node of nodes) {
+    const isBehind = node.version === undefined || node.version < version;
+    if (isBehind || node.lostAt !== undefined) laggards.push(node);
   }
-  behind.sort((left, right) => (left.version ?? -1) - (right.version ?? -1));
-  return behind.slice(0, fleetLimits.laggards).map(one => one.hello.name);
+  laggards.sort((left, right) => (left.version ?? -1) - (right.version ?? -1));
+  return laggards.slice(0, fleetLimits.laggards).map(node => node.hello.name);
 }
--- a/src/fleet/summary.ts
+++ b/src/fleet/summary.ts
@@ -5,40 +5,46 @@
 export interface DomainState {
   readonly failureDomain: string;
   readonly nodes: number;
-  /** Nodes that themselves said that they have the version in force. */
+  /** Nodes that have reported that the version is in force. */
   readonly inForce: number;
-  /** Nodes that have an older version or none. */
+  /** Nodes with an older version or none. */
   readonly behind: number;
-  /** Nodes of which nothing current is known. */
+  /** Nodes whose current state is not known. */
   readonly unknown: number;
 }
 
-/** One home's part in a summary. */
+/** The part of one home in a summary. */
 export interface HomeView {
   readonly home: string;
   readonly version: number;
-  /** Milliseconds since the home's summary was made. */
+  /** Milliseconds since the summary of the home was made. */
   readonly age: number;
-  /** True when it is too old to say what is in force. */
+  /** Whether it is too old to show what is in force. */
   readonly isStale: boolean;
 }
 
-/** What is in force where, for one version. */
+/** What is in force in each failure domain, for one version. */
 export interface FleetSummary extends Omit<DomainState, 'failureDomain'> {
   readonly version: number;
-  /** False while the asked process is too young to have heard all homes. */
+  /**
+   * False while the asked process started too recently to have received reports
+   * of all homes.
+   */
   readonly isSettled: boolean;
-  /** Least version in force among nodes that are known; absent for none. */
+  /**
+   * Lowest version in force among nodes whose state is known; absent for none.
+   */
   readonly least?: number;
   readonly domains: readonly DomainState[];
-  /** Names of nodes that lack the version; 20 at most. */
+  /** Names of nodes that lack the version; at most 20. */
   readonly laggards: readonly string[];
   readonly homes: readonly HomeView[];
 }
 
 /**
- * Joins the summaries of homes. Whatever is not known to be current counts as
- * unknown, so the answer may lag behind the truth but never runs ahead of it.
+ * Joins the summaries of homes. A node whose state is not known to be current
+ * counts as unknown, so the result may lag behind the actual state but is never
+ * ahead of it.
  */
 export function joinSummaries(
   version: number,
@@ -51,12 +57,12 @@
   let least: number | undefined;
   for (const home of homes) {
     const isStale = !isCurrent(home);
-    const left = arrivals.filter(({from}) => from === home.home);
+    const departures = arrivals.filter(({from}) => from === home.home);
     for (const domain of home.domains) {
       const moved = isStale
-        ? countAfter(left, domain, home.age)
-        : countLost(left, domain);
-      add(domains, judge(domain, version, isStale, moved));
+        ? countMovedSince(departures, domain, home.age)
+        : countMovedLost(departures, domain);
+      add(domains, evaluateDomain(domain, version, isStale, moved));
       if (isStale || domain.least === undefined) continue;
       least = Math.min(least ?? domain.least, domain.least);
     }
@@ -84,37 +90,45 @@
   };
 }
 
-/** A home's word is current while its summary is young enough. */
+/** Whether the summary of a home is recent enough to be current. */
 function isCurrent(home: HomeSummary): boolean {
-  return home.age <= fleetLimits.summaryAge;
+  return home.age <= fleetLimits.maxSummaryAge;
 }
 
 /**
- * Nodes of a home that has fallen silent which came to another home since it
- * was last heard. Without them each node of a dead relay would be counted
- * twice, as present where it is and as unknown where it was, and no change
- * would be in force everywhere until the dead relay is forgotten. A node that
- * came before counts for nothing here: the silent home had dropped it.
+ * Counts the nodes of a silent home that moved to another home after its last
+ * summary. Otherwise each node of a failed relay would be counted twice, as
+ * present at its new home and as unknown at the old one, and no change would be
+ * in force everywhere until the summary of the failed relay is dropped. Nodes
+ * that moved earlier are not counted here, since the silent home had already
+ * removed them.
  */
-function countAfter(
-  left: readonly Arrival[],
+function countMovedSince(
+  departures: readonly Arrival[],
   {failureDomain}: DomainSummary,
   silence: number,
 ): number {
-  const moved = left.filter(
-    one => one.failureDomain === failureDomain && one.age <= silence,
+  const moved = departures.filter(
+    arrival =>
+      arrival.failureDomain === failureDomain && arrival.age <= silence,
   );
   return moved.length;
 }
 
-/** Nodes that a home has lost and that are known to be at another. */
-function countLost(left: readonly Arrival[], {lost}: DomainSummary): number {
+/**
+ * Counts the nodes that a home has lost and that are known to be at another
+ * home.
+ */
+function countMovedLost(departures: readonly Arrival[], {lost}: DomainSummary): number {
   const names = new Set(lost);
-  return left.filter(({node}) => names.has(node)).length;
+  return departures.filter(({node}) => names.has(node)).length;
 }
 
-/** `moved` nodes are counted at the home where they are now. */
-function judge(
+/**
+ * Evaluates a domain summary. The `moved` nodes are counted at their present
+ * home instead.
+ */
+function evaluateDomain(
   domain: DomainSummary,
   version: number,
   isStale: boolean,
@@ -133,17 +147,17 @@
 }
 
 function add(domains: Map<string, DomainState>, state: DomainState): void {
-  const known = domains.get(state.failureDomain);
-  if (known === undefined) {
+  const previous = domains.get(state.failureDomain);
+  if (previous === undefined) {
     domains.set(state.failureDomain, state);
     return;
   }
   domains.set(state.failureDomain, {
     failureDomain: state.failureDomain,
-    nodes: known.nodes + state.nodes,
-    inForce: known.inForce + state.inForce,
-    behind: known.behind + state.behind,
-    unknown: known.unknown + state.unknown,
+    nodes: previous.nodes + state.nodes,
+    inForce: previous.inForce + state.inForce,
+    behind: previous.behind + state.behind,
+    unknown: previous.unknown + state.unknown,
   });
 }
 
