--- a/src/distribution/admission.ts
+++ b/src/distribution/admission.ts
@@ -25,7 +25,7 @@
   cancel(): void;
 }
 
-/** Admits request requests index a bounded rate. */
+/** Admits requests at a bounded rate. */
 export interface Admission {
   offer(request: SyncRequest): Ticket;
   /** Number of queued requests. */
--- a/src/distribution/backoff.ts
+++ b/src/distribution/backoff.ts
@@ -10,8 +10,8 @@
 
 /**
  * Returns a delay with full jitter: uniform between 0 and a bound that doubles
- * with each attempt. Processes that lost their links at the same moment are
- * thereby spread over the whole bound.
+ * with each attempt. Processes that lost their links at the same moment
+ * therefore reconnect spread over the whole interval.
  */
 export function backoffDelay(
   attempt: number,
--- a/src/distribution/confirmation-watch.ts
+++ b/src/distribution/confirmation-watch.ts
@@ -33,7 +33,7 @@
 ): Subscription {
   const {home, subscriber, metrics, timers, log, limit} = options;
   /**
-   * The last confirmation, while its age is being logged; undefined otherwise.
+   * Time of the last confirmation while its age is logged; undefined otherwise.
    */
   let loggedAsOf: number | undefined;
   let loggedAt = 0;
--- a/src/distribution/freshness-marks.ts
+++ b/src/distribution/freshness-marks.ts
@@ -22,8 +22,8 @@
    */
   receive(pong: Pong): FreshnessMark | undefined;
   /**
-   * Applies a mark of the home to the local state too, if that is not behind
-   * the home.
+   * Applies a mark to the local state too, provided that the version of the
+   * home is in force here.
    */
   confirm(mark: FreshnessMark): void;
   /** Records the version that is in force locally. */
--- a/src/distribution/home-mesh.ts
+++ b/src/distribution/home-mesh.ts
@@ -39,47 +39,47 @@
  */
 export function createHomeMesh(options: HomeMeshOptions): HomeMesh {
   const {address, peers, ...shared} = options;
-  const homes = new Map<Address, HomeConnection>();
+  const connections = new Map<Address, HomeConnection>();
   const channelsObservers: Array<(channels: Channels) => void> = [];
   const reportObservers: Array<(report: Report) => void> = [];
   let isStopped = false;
 
   function open(peer: Address): void {
-    const home = createHomeConnection({
+    const connection = createHomeConnection({
       ...shared,
       homes: [peer],
       heartbeat: 1000,
     });
-    homes.set(peer, home);
-    for (const observe of channelsObservers) home.onChannels(observe);
-    for (const observe of reportObservers) home.onReport(observe);
+    connections.set(peer, connection);
+    for (const observe of channelsObservers) connection.onChannels(observe);
+    for (const observe of reportObservers) connection.onReport(observe);
   }
 
-  function follow(addresses: readonly Address[]): void {
+  function setPeers(addresses: readonly Address[]): void {
     if (isStopped) return;
     const addressesToOpen = new Set(addresses.filter(peer => peer > address));
-    for (const [peer, home] of homes) {
+    for (const [peer, connection] of connections) {
       if (addressesToOpen.has(peer)) continue;
-      homes.delete(peer);
-      home.stop();
+      connections.delete(peer);
+      connection.stop();
     }
-    for (const peer of addressesToOpen) if (!homes.has(peer)) open(peer);
+    for (const peer of addressesToOpen) if (!connections.has(peer)) open(peer);
   }
 
-  follow(peers);
+  setPeers(peers);
   return {
     onChannels(observe) {
       channelsObservers.push(observe);
-      for (const home of homes.values()) home.onChannels(observe);
+      for (const connection of connections.values()) connection.onChannels(observe);
     },
     onReport(observe) {
       reportObservers.push(observe);
-      for (const home of homes.values()) home.onReport(observe);
+      for (const connection of connections.values()) connection.onReport(observe);
     },
-    setPeers: follow,
+    setPeers,
     stop() {
       isStopped = true;
-      for (const home of homes.values()) home.stop();
+      for (const connection of connections.values()) connection.stop();
     },
   };
 }
--- a/src/distribution/limits.ts
+++ b/src/distribution/limits.ts
@@ -57,7 +57,7 @@
   compareTimeout: 2000,
   /** Number of states that are kept for deltas. */
   ringLength: 1024,
-  /** Bytes of state sent per second. */
+  /** Bytes of state sent per second to subscribers that synchronize. */
   syncBytesPerSecond: 16 * 1024 * 1024,
   /**
    * Bytes that are added to the cost of each synchronization, for its processor
--- a/src/distribution/section.ts
+++ b/src/distribution/section.ts
@@ -19,7 +19,7 @@
 const packr = new Packr({useRecords: false, variableMapSize: true});
 
 /**
- * Approximate number of routes per section. A change of quarantine route sends its
+ * Approximate number of routes per section. A change of one route sends its
  * section to every node. With 1,700 routes a single section has 114 kB, which
  * takes a tenth of a second on the link of a node; parts of this size have 3 to
  * 5 kB before packing.
@@ -27,7 +27,7 @@
 const routesPerSection = 64;
 
 /**
- * Divides a configuration into sections: quarantine per service, or several for a
+ * Divides a configuration into sections: one per service, or several for a
  * service with many routes.
  */
 export function splitSections(
--- a/src/distribution/subscriber.ts
+++ b/src/distribution/subscriber.ts
@@ -207,7 +207,7 @@
         if (response.subscription === subscription) compare();
         break;
       case 'later':
-        receiveLater(response);
+        receivePostponement(response);
         break;
       case 'proof':
         receiveProof(response.nonce, response.version);
@@ -265,7 +265,7 @@
     if (current() !== 'repairing') compare();
   }
 
-  function receiveLater(postponement: Postponement): void {
+  function receivePostponement(postponement: Postponement): void {
     if (postponement.subscription !== subscription) return;
     retryTimer?.cancel();
     retryTimer = timers.after(postponement.after, requestState);
--- a/src/distribution/syncer.ts
+++ b/src/distribution/syncer.ts
@@ -39,7 +39,7 @@
   readonly view: StateView;
   readonly timers: Timers;
   readonly random: Random;
-  /** Bytes of state sent per second. */
+  /** Bytes of state sent per second, of all subscribers together. */
   readonly bytesPerSecond: number;
   /** False in tests only: every subscriber is then synchronized at once. */
   readonly isAdmitting: boolean;
@@ -116,11 +116,11 @@
   function sync(session: Session): void {
     session.ticket = undefined;
     const state = view.newest()!;
-    const {comparison: compared} = session;
+    const {comparison} = session;
     const isSent =
-      compared === undefined
+      comparison === undefined
         ? syncByPlan(session, state)
-        : syncByComparison(session, state, compared);
+        : syncByComparison(session, state, comparison);
     if (!isSent) return;
     session.sent = state.version;
     session.comparison = undefined;
@@ -159,12 +159,12 @@
   function syncByComparison(
     session: Session,
     state: SectionState,
-    compared: Compare,
+    comparison: Compare,
   ): boolean {
     count.comparisons++;
     const wanted = new Map(coveredSections(state, session.services));
     const names = new Set(wanted.keys());
-    for (const {name, digest} of compared.digests) {
+    for (const {name, digest} of comparison.digests) {
       const stored = wanted.get(name);
       if (stored === undefined) names.add(name);
       else if (stored.digest === digest) names.delete(name);
--- a/src/fleet/fleet.ts
+++ b/src/fleet/fleet.ts
@@ -180,7 +180,7 @@
       // A peer home keeps its link to just this home.
       const otherHomes = hello.kind === 'control' ? noHomes : homes();
       if (message.kind === 'ping') answer(channel, message, otherHomes);
-      if (message.kind === 'report') receive(message);
+      if (message.kind === 'report') receiveReport(message);
     };
   }
 
@@ -211,7 +211,7 @@
     isChanged = true;
   }
 
-  function receive(message: Report): void {
+  function receiveReport(message: Report): void {
     for (const summary of message.summaries) {
       const madeAt = timers.now() - summary.age;
       const previous = received.get(summary.home);
@@ -250,7 +250,7 @@
     reportedAt = now;
     const relaySummaries = [...relays]
       .map(name => received.get(name))
-      .filter(one => one !== undefined);
+      .filter(summary => summary !== undefined);
     const summaries = [summarizeNodes(), ...relaySummaries.map(withAge)];
     for (const channel of reportChannels) channel.send({kind: 'report', summaries});
   }
@@ -272,7 +272,7 @@
     accept,
     onHello: observe => void helloObservers.push(observe),
     report,
-    receiveReport: receive,
+    receiveReport,
     summary(version = position().version ?? 0) {
       const homes = [summarizeNodes(), ...[...received.values()].map(withAge)];
       return joinSummaries(version, homes, moves.list(), isSettled());
