--- a/src/distribution/distributor.test.ts
+++ b/src/distribution/distributor.test.ts
@@ -37,14 +37,14 @@
     onClose: () => {},
   };
   distributor.accept(channels);
-  const ask = (request: Request) => receive(request);
-  ask({
+  const sendRequest = (request: Request) => receive(request);
+  sendRequest({
     kind: 'subscribe',
     subscription: 1,
     services: 'all',
     complete: false,
   });
-  return {timers, operator, link, sent, ask};
+  return {timers, operator, link, sent, sendRequest};
 }
 
 const versionsOf = (sent: readonly Response[]) =>
@@ -69,7 +69,7 @@
 });
 
 test('a subscriber whose link was full for longer than the ring is synchronized by comparison', t => {
-  const {timers, operator, link, sent, ask} = setUp(2);
+  const {timers, operator, link, sent, sendRequest} = setUp(2);
   link.pending = 10_000_000;
   for (let change = 0; change < 5; change++) {
     operator.accept({put: ['crewbook']});
@@ -78,15 +78,15 @@
   link.pending = 0;
   timers.advance(200);
   t.deepEqual(sent.at(-1), {kind: 'differ', subscription: 1});
-  ask({kind: 'compare', subscription: 1, version: 1, digests: []});
+  sendRequest({kind: 'compare', subscription: 1, version: 1, digests: []});
   timers.advance(200);
   t.deepEqual(versionsOf(sent), [1, 6]);
 });
 
 test('a synchronization waits while the link is full', t => {
-  const {timers, link, sent, ask} = setUp();
+  const {timers, link, sent, sendRequest} = setUp();
   link.pending = 10_000_000;
-  ask({kind: 'compare', subscription: 1, version: 0, digests: []});
+  sendRequest({kind: 'compare', subscription: 1, version: 0, digests: []});
   timers.advance(1000);
   t.is(versionsOf(sent).length, 1);
   link.pending = 0;
--- a/src/distribution/freshness-marks.test.ts
+++ b/src/distribution/freshness-marks.test.ts
@@ -22,9 +22,9 @@
 test('a home that answers its pings in order is not worse than another, however late', t => {
   const {clock, marks, other} = createMarks();
   const {number} = marks.ping();
-  const asked = other();
+  const otherMark = other();
   clock.advance(1000);
-  t.false(marks.isWorseThan(asked));
+  t.false(marks.isWorseThan(otherMark));
   marks.receive({kind: 'pong', number, age: 100, version: 1});
   t.false(marks.isWorseThan(other()));
 });
--- a/src/distribution/home-connection.test.ts
+++ b/src/distribution/home-connection.test.ts
@@ -14,17 +14,17 @@
   const operator = createOperator();
   operator.accept({put: ['crewbook']});
   const other = await cluster.control('control-2', operator);
-  let shown = operator.current();
+  let shownConfiguration = operator.current();
   let isIsolated = false;
   const nearest = await cluster.control('control-1', {
     ...operator,
-    current: () => (isIsolated ? shown : operator.current()),
+    current: () => (isIsolated ? shownConfiguration : operator.current()),
   });
   const homes = [{address: nearest.address, failureDomain: 'a'}, other.address];
   const node = cluster.node('node-1', homes, {}, {safeguards});
   await cluster.timers.advanceAsync(3000);
   if (node.home.address() !== nearest.address) throw new Error('not nearest');
-  shown = operator.current();
+  shownConfiguration = operator.current();
   isIsolated = true;
   nearest.quorum = false;
   operator.accept({put: ['crewbook']});
@@ -128,17 +128,17 @@
   operator.accept({put: ['crewbook']});
   let homes: readonly HomeAddress[] = [];
   const listHomes = () => (isInformed ? homes : []);
-  const old = await cluster.control('control-1', operator, {}, 0, listHomes);
-  const node = cluster.node('node-1', [old.address]);
+  const oldHome = await cluster.control('control-1', operator, {}, 0, listHomes);
+  const node = cluster.node('node-1', [oldHome.address]);
   await cluster.timers.advanceAsync(3000);
-  const joined = await cluster.control('control-4', operator);
-  homes = [{address: joined.address, failureDomain: 'a'}];
+  const newHome = await cluster.control('control-4', operator);
+  homes = [{address: newHome.address, failureDomain: 'a'}];
   await cluster.timers.advanceAsync(3000);
-  const before = node.home.address();
+  const addressBefore = node.home.address();
   cluster.network.kill('control-1');
   operator.accept({put: ['crewbook']});
   await cluster.timers.advanceAsync(20_000);
-  return {node, old, joined, before};
+  return {node, oldHome, newHome, addressBefore};
 }
 
 test('a node that does not learn the new homes keeps an old version after all its homes were replaced', async t => {
@@ -147,9 +147,9 @@
 });
 
 test('a node whose homes were all replaced connects to one that it learned', async t => {
-  const {node, old, joined, before} = await replaceAllHomes(true);
-  t.is(before, old.address);
-  t.is(node.home.address(), joined.address);
+  const {node, oldHome, newHome, addressBefore} = await replaceAllHomes(true);
+  t.is(addressBefore, oldHome.address);
+  t.is(node.home.address(), newHome.address);
   t.deepEqual(node.versions, [1, 2]);
 });
 
--- a/src/distribution/syncer.ts
+++ b/src/distribution/syncer.ts
@@ -162,10 +162,10 @@
     comparison: Compare,
   ): boolean {
     count.comparisons++;
-    const wanted = new Map(coveredSections(state, session.services));
-    const names = new Set(wanted.keys());
+    const covered = new Map(coveredSections(state, session.services));
+    const names = new Set(covered.keys());
     for (const {name, digest} of comparison.digests) {
-      const stored = wanted.get(name);
+      const stored = covered.get(name);
       if (stored === undefined) names.add(name);
       else if (stored.digest === digest) names.delete(name);
     }
--- a/src/fleet/node-moves.ts
+++ b/src/fleet/node-moves.ts
@@ -9,8 +9,8 @@
   /** Records the arrivals that the summary of a home reports. */
   addArrivals(summary: HomeSummary): void;
   /**
-   * Removes moves from `home` that are too old to matter, now that its own
-   * summary made at `madeAt` has been received.
+   * Removes moves from `home` that are too old to matter, after its summary
+   * made at `madeAt` has been received.
    */
   removeOutdated(home: string, madeAt: number): void;
   /** Removes all moves from a home whose summary was dropped. */
