--- a/src/distribution/admission.test.ts
+++ b/src/distribution/admission.test.ts
@@ -143,7 +143,10 @@
   const without = await reconnectHerd(false);
   const within = await reconnectHerd(true);
   t.is(within.steadyVersion, 2);
-  t.true(without.bytesAhead > 20 * within.bytesAhead, JSON.stringify({without, within}));
+  t.true(
+    without.bytesAhead > 20 * within.bytesAhead,
+    JSON.stringify({without, within}),
+  );
 });
 
 test('each of many nodes that reconnect together is served eventually', async t => {
--- a/src/distribution/distribution.test.ts
+++ b/src/distribution/distribution.test.ts
@@ -15,7 +15,10 @@
   operator.accept({put: ['parts-files']});
   await cluster.timers.advanceAsync(100);
   t.deepEqual(fullNode.subscriber.current(), operator.current());
-  t.deepEqual([...partialNode.subscriber.current()!.services.keys()], ['parts-files']);
+  t.deepEqual(
+    [...partialNode.subscriber.current()!.services.keys()],
+    ['parts-files'],
+  );
   const summary = control.fleet.summary();
   t.like(summary, {version: 2, nodes: 2, inForce: 2, behind: 0, unknown: 0});
 });
--- a/src/distribution/home-connection.test.ts
+++ b/src/distribution/home-connection.test.ts
@@ -90,7 +90,9 @@
     {safeguards: silence},
   );
   await cluster.timers.advanceAsync(2000);
-  cluster.network.decide(source => (source === 'control-1' ? 'hold' : 'deliver'));
+  cluster.network.decide(source =>
+    source === 'control-1' ? 'hold' : 'deliver',
+  );
   await cluster.timers.advanceAsync(1500);
   const cutAt = cluster.timers.now();
   cluster.network.cut('node-1', 'control-1');
@@ -128,7 +130,13 @@
   operator.accept({put: ['crewbook']});
   let homes: readonly HomeAddress[] = [];
   const listHomes = () => (isInformed ? homes : []);
-  const oldHome = await cluster.control('control-1', operator, {}, 0, listHomes);
+  const oldHome = await cluster.control(
+    'control-1',
+    operator,
+    {},
+    0,
+    listHomes,
+  );
   const node = cluster.node('node-1', [oldHome.address]);
   await cluster.timers.advanceAsync(3000);
   const newHome = await cluster.control('control-4', operator);
--- a/src/distribution/home-mesh.ts
+++ b/src/distribution/home-mesh.ts
@@ -70,11 +70,13 @@
   return {
     onChannels(observe) {
       channelsObservers.push(observe);
-      for (const connection of connections.values()) connection.onChannels(observe);
+      for (const connection of connections.values())
+        connection.onChannels(observe);
     },
     onReport(observe) {
       reportObservers.push(observe);
-      for (const connection of connections.values()) connection.onReport(observe);
+      for (const connection of connections.values())
+        connection.onReport(observe);
     },
     setPeers,
     stop() {
--- a/src/distribution/home-search.ts
+++ b/src/distribution/home-search.ts
@@ -108,7 +108,10 @@
         receive(candidate);
       },
       onFailure(problem) {
-        log.debug('home did not answer the probe', {home: home.address, problem});
+        log.debug('home did not answer the probe', {
+          home: home.address,
+          problem,
+        });
         probes.delete(home.address);
         options.onFailure(home);
         probeNext();
--- a/src/distribution/in-force.test.ts
+++ b/src/distribution/in-force.test.ts
@@ -42,7 +42,9 @@
   await cluster.timers.advanceAsync(3000 + offset);
   if (node.home.address() !== homes[0]!.address) throw new Error('not nearest');
   const suspended = new Set<string>();
-  cluster.network.decide(source => (suspended.has(source) ? 'hold' : 'deliver'));
+  cluster.network.decide(source =>
+    suspended.has(source) ? 'hold' : 'deliver',
+  );
 
   return {
     cluster,
@@ -91,7 +93,9 @@
  * Returns the longest time until a change is in force, over all moments of the
  * fault.
  */
-async function findLongestDelay(fault: (attached: Attached) => Promise<void> | void) {
+async function findLongestDelay(
+  fault: (attached: Attached) => Promise<void> | void,
+) {
   let longestDelay = 0;
   for (const offset of offsets) {
     const attached = await attachNode(offset);
--- a/src/distribution/section.test.ts
+++ b/src/distribution/section.test.ts
@@ -125,7 +125,9 @@
     const before = [...(held?.sections.keys() ?? [])];
     const changed = new Set([...before, ...state.sections.keys()]);
     const names = selectCoveredNames(changed, ['records']);
-    held = applyPush(held, pushTo(state, ['records'], names, false), ['records']);
+    held = applyPush(held, pushTo(state, ['records'], names, false), [
+      'records',
+    ]);
     const records = [...configuration.routes.values()].filter(
       ({service}) => service === 'records',
     );
--- a/src/distribution/storm.test.ts
+++ b/src/distribution/storm.test.ts
@@ -20,7 +20,8 @@
   let subscriptions = 0;
   cluster.network.decide((source, _target, message) => {
     const isNode = source.startsWith('node');
-    if (isNode && JSON.stringify(message).includes('subscribe"')) subscriptions++;
+    if (isNode && JSON.stringify(message).includes('subscribe"'))
+      subscriptions++;
     return 'deliver';
   });
   const nodes = Array.from({length: 80}, (_, index) =>
--- a/src/fleet/fleet.ts
+++ b/src/fleet/fleet.ts
@@ -122,7 +122,11 @@
    */
   function watchSilence(channels: Channels, name: () => string): SilenceWatch {
     const {silenceTimeout} = fleetLimits;
-    const watch = createSilenceWatch(timers, silenceTimeout / 2, silenceTimeout);
+    const watch = createSilenceWatch(
+      timers,
+      silenceTimeout / 2,
+      silenceTimeout,
+    );
     const timer: Subscription = timers.every(silenceTimeout / 2, () => {
       if (watch.look() !== 'silent') return;
       timer.cancel();
@@ -197,7 +201,8 @@
       kind: 'pong',
       number: ping.number,
       ...(previous === undefined && {home: self.name}),
-      ...(previous !== otherHomes && otherHomes.length > 0 && {homes: otherHomes}),
+      ...(previous !== otherHomes &&
+        otherHomes.length > 0 && {homes: otherHomes}),
       ...(asOf !== undefined && {age: Math.ceil(timers.now() - asOf)}),
       ...(version !== undefined && {version}),
     });
@@ -244,7 +249,8 @@
     nodes.removeExpired();
     dropExpired();
     const now = timers.now();
-    const isReportDue = isChanged || now - reportedAt >= fleetLimits.maxReportInterval;
+    const isReportDue =
+      isChanged || now - reportedAt >= fleetLimits.maxReportInterval;
     if (!isReportDue || reportChannels.size === 0) return;
     isChanged = false;
     reportedAt = now;
@@ -252,7 +258,8 @@
       .map(name => received.get(name))
       .filter(summary => summary !== undefined);
     const summaries = [summarizeNodes(), ...relaySummaries.map(withAge)];
-    for (const channel of reportChannels) channel.send({kind: 'report', summaries});
+    for (const channel of reportChannels)
+      channel.send({kind: 'report', summaries});
   }
 
   function dropExpired(): void {
--- a/src/fleet/node-table.ts
+++ b/src/fleet/node-table.ts
@@ -38,8 +38,7 @@
 /** Creates an empty node table. */
 export function createNodeTable(timers: Timers): NodeTable {
   const nodes = new Map<string, NodeEntry>();
-  const isCurrent = (node: NodeEntry) =>
-    nodes.get(node.hello.name) === node;
+  const isCurrent = (node: NodeEntry) => nodes.get(node.hello.name) === node;
 
   return {
     add(hello, channels) {
--- a/src/fleet/summary.ts
+++ b/src/fleet/summary.ts
@@ -119,7 +119,10 @@
  * Counts the nodes that a home has lost and that are known to be at another
  * home.
  */
-function countMovedLost(departures: readonly Arrival[], {lost}: DomainSummary): number {
+function countMovedLost(
+  departures: readonly Arrival[],
+  {lost}: DomainSummary,
+): number {
   const names = new Set(lost);
   return departures.filter(({node}) => names.has(node)).length;
 }
