--- a/src/distribution/home-connection.test.ts
+++ b/src/distribution/home-connection.test.ts
@@ -90,9 +90,7 @@
     {safeguards: silence},
   );
   await cluster.timers.advanceAsync(2000);
-  cluster.network.decide(source =>
-    source === 'control-1' ? 'hold' : 'deliver',
-  );
+  cluster.network.decide(from => (from === 'control-1' ? 'hold' : 'deliver'));
   await cluster.timers.advanceAsync(1500);
   const cutAt = cluster.timers.now();
   cluster.network.cut('node-1', 'control-1');
--- a/src/distribution/in-force.test.ts
+++ b/src/distribution/in-force.test.ts
@@ -42,9 +42,7 @@
   await cluster.timers.advanceAsync(3000 + offset);
   if (node.home.address() !== homes[0]!.address) throw new Error('not nearest');
   const suspended = new Set<string>();
-  cluster.network.decide(source =>
-    suspended.has(source) ? 'hold' : 'deliver',
-  );
+  cluster.network.decide(from => (suspended.has(from) ? 'hold' : 'deliver'));
 
   return {
     cluster,
