--- a/src/node/request-path.ts
+++ b/src/node/request-path.ts
@@ -98,7 +98,11 @@
 }
 
 /** Whether a quorum has confirmed of late that no newer configuration is known. */
-function isConfirmed(home: HomeConnection, timers: Timers, freshness: number): boolean {
+function isConfirmed(
+  home: HomeConnection,
+  timers: Timers,
+  freshness: number,
+): boolean {
   const asOf = home.asOf();
   return asOf !== undefined && timers.now() - asOf <= freshness;
 }
