--- a/src/configuration/answer-table.test.ts
+++ b/src/configuration/answer-table.test.ts
@@ -38,7 +38,7 @@
 /** Commits a change under version 1 and loses its answer. */
 async function loseAnswer(group: Group): Promise<void> {
   await propose(group, 'control-1', command(1));
-  group.decide('commit-and-lose');
+  group.planOutcomes('commit-and-lose');
   await propose(group, 'control-1', command(2, 1));
 }
 
--- a/src/consensus/applier.ts
+++ b/src/consensus/applier.ts
@@ -2,7 +2,7 @@
 import type {CoreState} from './core-state.js';
 import type {Snapshot} from './messages.js';
 import type {Proposals} from './proposals.js';
-import type {Job} from './writer.js';
+import type {WriterJob} from './writer.js';
 
 /** Brings committed entries into the state machine. */
 export interface Applier {
@@ -24,7 +24,7 @@
   readonly proposals: Proposals;
   readonly snapshotEntries: number;
   /** Hands a snapshot to the disk. */
-  readonly save: (job: Job) => void;
+  readonly save: (job: WriterJob) => void;
 }
 
 /** Creates the applier of a member. */
--- a/src/consensus/consensus.ts
+++ b/src/consensus/consensus.ts
@@ -37,7 +37,7 @@
   /** Members that receive the log and do not count yet. */
   readonly learners: readonly Member[];
   /** The members that others told a process which is none; else empty. */
-  readonly told: readonly Member[];
+  readonly reportedMembers: readonly Member[];
   /** Bytes sent to the other members since the start. */
   readonly bytesOut: number;
   /** Size of the log on disk in bytes. */
@@ -60,9 +60,9 @@
   /** Calls `observe` after each applied entry or restored snapshot. */
   onApplied(observe: (index: number) => void): void;
   /** Calls `observe` after each change of role or leader. */
-  onRole(observe: (status: Status) => void): void;
+  onRoleChange(observe: (status: Status) => void): void;
   /** Calls `observe` when the members or what they tell of themselves change. */
-  onMembers(observe: () => void): void;
+  onMembersChange(observe: () => void): void;
   /** Ends the member; a leader first lets another one lead. */
   stop(): Promise<void>;
 }
--- a/src/consensus/core-state.ts
+++ b/src/consensus/core-state.ts
@@ -103,7 +103,7 @@
 }
 
 /** What was found on disk. */
-export interface Stored {
+export interface StoredState {
   readonly vote: Vote;
   readonly snapshot: Snapshot;
   readonly baseIndex: number;
@@ -127,7 +127,7 @@
   /** Name of the leader of `term`, when known. */
   leader: string | undefined;
   /** When the leader was last heard. */
-  heardAt: number;
+  leaderContactAt: number;
   snapshot: Snapshot;
   commitIndex: number;
   /** Own entries up to here are durable. */
@@ -141,7 +141,7 @@
 /** Creates the state from what was found on disk. */
 export function createCoreState(
   options: CoreOptions,
-  stored: Stored,
+  stored: StoredState,
 ): CoreState {
   const log = createMemoryLog(
     stored.snapshot,
@@ -159,7 +159,7 @@
     term: Math.max(stored.vote.term, log.lastTerm),
     votedFor: stored.vote.votedFor,
     leader: undefined,
-    heardAt: -Infinity,
+    leaderContactAt: -Infinity,
     snapshot: stored.snapshot,
     commitIndex: stored.snapshot.index,
     syncedIndex: log.lastIndex,
@@ -225,7 +225,9 @@
 
 /** The voter behind a message, or undefined when it does not count. */
 export function findVoter(state: CoreState, peer: Peer): Voter | undefined {
-  return membershipOf(state).voters.find(voter => isSame(state, voter, peer));
+  return membershipOf(state).voters.find(voter =>
+    isSamePeer(state, voter, peer),
+  );
 }
 
 /**
@@ -233,14 +235,14 @@
  * emptied disk behind a known name has forgotten its votes and entries; were it
  * counted, a majority could form that never saw an accepted change.
  */
-export function isSame(state: CoreState, known: Peer, peer: Peer): boolean {
+export function isSamePeer(state: CoreState, known: Peer, peer: Peer): boolean {
   if (known.name !== peer.name) return false;
   if (!state.options.safeguards.storageIdentity) return true;
   return known.storage === peer.storage;
 }
 
 /** Whether the newest membership counts this process as a voter. */
-export function isCounted(state: CoreState): boolean {
+export function isVoter(state: CoreState): boolean {
   return findVoter(state, state.options.self) !== undefined;
 }
 
--- a/src/consensus/core.ts
+++ b/src/consensus/core.ts
@@ -1,12 +1,17 @@
-import {createBarriers} from './barrier.js';
+import {createReadBarriers} from './read-barriers.js';
 import {
   createCoreState,
-  isCounted,
+  isVoter,
   membershipOf,
   roleOf,
   stepDown,
 } from './core-state.js';
-import type {Action, CoreOptions, CoreState, Stored} from './core-state.js';
+import type {
+  Action,
+  CoreOptions,
+  CoreState,
+  StoredState,
+} from './core-state.js';
 import {createElection} from './election.js';
 import {createFollower} from './follower.js';
 import type {Entry, Message, Peer, Snapshot, Voter} from './messages.js';
@@ -61,12 +66,12 @@
 }
 
 /** Creates the decisions of a member from what was found on its disk. */
-export function createCore(options: CoreOptions, stored: Stored): Core {
+export function createCore(options: CoreOptions, stored: StoredState): Core {
   const state = createCoreState(options, stored);
   const replication = createReplication(state);
-  const election = createElection(state, () => replication.start());
+  const election = createElection(state, () => replication.startTerm());
   const follower = createFollower(state, election);
-  const barriers = createBarriers(state, replication);
+  const barriers = createReadBarriers(state, replication);
   const changes = createMembershipChanges(state, replication);
 
   function propose(proposals: readonly Proposal[]): void {
@@ -92,13 +97,13 @@
       case 'append':
         return follower.onAppend(from, message);
       case 'appended':
-        return replication.onAppended(from, message);
+        return replication.onAppendAnswer(from, message);
       case 'snapshot-part':
         return follower.onSnapshotPart(from, message);
       case 'snapshot-taken':
-        return replication.onSnapshotTaken(from, message);
+        return replication.onSnapshotPartAnswer(from, message);
       case 'take-over':
-        return election.onTakeOver(from, message);
+        return election.onTakeOverRequest(from, message);
       case 'barrier-request':
         return barriers.onRequest(from, message);
       case 'barrier-answer':
@@ -130,9 +135,9 @@
       case 'receive':
         return receive(event.from, event.message);
       case 'met':
-        return changes.onMet(event.peer);
+        return changes.onPeerConnected(event.peer);
       case 'parted':
-        return changes.onParted(event.name);
+        return changes.onPeerDisconnected(event.name);
       case 'propose':
         return propose(event.proposals);
       case 'barrier':
@@ -154,7 +159,7 @@
   /** Follows the membership: only who is counted may stand or lead. */
   function refreshRole(): void {
     const isCommitted = state.log.membershipIndex <= state.commitIndex;
-    if (isCounted(state)) state.role.send('counted');
+    if (isVoter(state)) state.role.send('counted');
     else if (roleOf(state) !== 'leader') state.role.send('uncounted');
     else if (isCommitted) {
       stepDown(state);
--- a/src/consensus/create-consensus.ts
+++ b/src/consensus/create-consensus.ts
@@ -11,7 +11,7 @@
 import {resolveOptions} from './options.js';
 import type {ConsensusOptions} from './options.js';
 import {createProposals} from './proposals.js';
-import {createReads} from './reads.js';
+import {createPendingReads} from './pending-reads.js';
 import {createReplacements, refuseReplacement} from './replacements.js';
 import {openStorage} from './storage.js';
 import {toFailure} from './storage-failure.js';
@@ -48,7 +48,7 @@
   let retired: (() => void) | undefined;
   let followed = state.log.membership;
 
-  const mustWait = () => options.safeguards.syncVote && writer.holdsVote;
+  const mustWait = () => options.safeguards.syncVote && writer.hasPendingVote;
 
   const isLeader = () => state.role.current === 'leader';
 
@@ -76,9 +76,9 @@
     snapshotEntries: options.snapshotEntries,
     save: job => writer.push(job),
   });
-  const reads = createReads({
+  const reads = createPendingReads({
     timers,
-    retry: electionTimeout,
+    resendAfter: electionTimeout,
     timeout: electionTimeout * readTimeouts,
     request: id => handle({kind: 'barrier', id}),
     appliedIndex: () => applier.index,
@@ -90,7 +90,7 @@
   if (storage.stored.formed) applier.restore(storage.stored.snapshot);
   const links = await createGroupLinks({
     options,
-    me,
+    selfVoter: me,
     log,
     identity: () => storage.identity,
     handle,
@@ -98,13 +98,13 @@
     write: job => writer.push(job),
   });
   const status = createStatusView({
-    me,
+    selfVoter: me,
     state,
     links,
     logBytes: () => storage.logBytes,
   });
-  links.follow(followed, state.log.membershipIndex);
-  links.formAlone();
+  links.followMembership(followed, state.log.membershipIndex);
+  links.formSingleMemberGroup();
   const ticking = timers.every(Math.max(1, heartbeat / 2), tick);
 
   function handle(event: Event): void {
@@ -125,7 +125,7 @@
     isPerforming = false;
     if (state.log.membership === followed) return;
     followed = state.log.membership;
-    links.follow(followed, state.log.membershipIndex);
+    links.followMembership(followed, state.log.membershipIndex);
     logMembers();
     observeMembers();
   }
@@ -227,7 +227,11 @@
   }
 
   function refuseProposal(data: Uint8Array): Result<never> | undefined {
-    const {entryLimit, openLimit, openBytesLimit} = options;
+    const {
+      entryLimit,
+      pendingLimit: openLimit,
+      pendingBytesLimit: openBytesLimit,
+    } = options;
     if (stopped !== undefined) return stopped;
     if (!isLeader() || retired !== undefined) return notLeader();
     if (data.length > entryLimit) {
@@ -310,8 +314,8 @@
     status,
     replace,
     onApplied: observe => applier.observe(observe),
-    onRole: observe => void roleObservers.push(observe),
-    onMembers: observe => void memberObservers.push(observe),
+    onRoleChange: observe => void roleObservers.push(observe),
+    onMembersChange: observe => void memberObservers.push(observe),
     async stop() {
       await retire();
       await halt(
--- a/src/consensus/durability.test.ts
+++ b/src/consensus/durability.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
 import {Failure} from '../result/failure.js';
 import {consensusCodes} from './codes.js';
-import {readIdentity} from './folder.js';
+import {readIdentity} from './data-folder.js';
 import type {VoteAnswer} from './messages.js';
 import {createTestGroup, startTestGroup} from './fakes/group.js';
 import type {TestGroup, TestGroupOptions} from './fakes/group.js';
@@ -101,10 +101,10 @@
   };
   for (const [name, code] of Object.entries(codes)) {
     group.kill('a');
-    disk.flip(name, 5);
+    disk.flipBit(name, 5);
     const error = await t.throwsAsync(group.start('a'), {any: true});
     t.is((error as unknown as {code: unknown}).code, code);
-    disk.flip(name, 5);
+    disk.flipBit(name, 5);
   }
   await t.notThrowsAsync(group.start('a'));
 });
--- a/src/consensus/fakes/fake-consensus.ts
+++ b/src/consensus/fakes/fake-consensus.ts
@@ -4,7 +4,7 @@
 import type {Consensus, Member, StateMachine, Status} from '../consensus.js';
 
 /** What becomes of the next proposal. */
-export type Fate = 'answer' | 'commit-and-lose' | 'lose';
+export type ProposalOutcome = 'answer' | 'commit-and-lose' | 'lose';
 
 /** A control group in memory that commits at once and fails as told. */
 export interface FakeGroup<M extends StateMachine> {
@@ -13,7 +13,7 @@
   /** Makes `name` the leader, or nobody. */
   lead(name: string | undefined): void;
   /** Decides the next proposals, one each; then all are answered. */
-  decide(...fates: Fate[]): void;
+  planOutcomes(...fates: ProposalOutcome[]): void;
   /** Gives the member a fresh machine: a snapshot at `index`, then the tail. */
   restart(name: string, index?: number): void;
   /** The entries committed so far. */
@@ -27,7 +27,7 @@
 ): FakeGroup<M> {
   const machines = new Map(names.map(name => [name, createMachine()]));
   const log: Uint8Array[] = [];
-  const fates: Fate[] = [];
+  const fates: ProposalOutcome[] = [];
   const observers = new Set<(index: number) => void>();
   let voters = names.map(toMember);
   let leader: string | undefined = names[0];
@@ -67,7 +67,7 @@
       snapshotIndex: 0,
       voters,
       learners: [],
-      told: [],
+      reportedMembers: [],
       bytesOut: 0,
       logBytes: 0,
     };
@@ -99,8 +99,8 @@
         return success(undefined);
       },
       onApplied: observe => void observers.add(observe),
-      onRole: () => {},
-      onMembers: () => {},
+      onRoleChange: () => {},
+      onMembersChange: () => {},
       stop: async () => {},
     };
   }
@@ -109,7 +109,7 @@
     member,
     machine: name => machines.get(name)!,
     lead: name => void (leader = name),
-    decide: (...next) => void fates.push(...next),
+    planOutcomes: (...next) => void fates.push(...next),
     restart,
     entries: () => log,
   };
--- a/src/consensus/fakes/freezable.ts
+++ b/src/consensus/fakes/freezable.ts
@@ -7,7 +7,7 @@
 /** A process's view of time that can stand still for this process alone. */
 export abstract class FreezableTimers extends Timers {
   /** Runs a task now, or when the process goes on. */
-  abstract whenAwake(task: () => void): void;
+  abstract whenThawed(task: () => void): void;
   abstract freeze(): void;
   abstract thaw(): void;
 }
@@ -22,7 +22,7 @@
   };
 
   return new (class extends FreezableTimers {
-    whenAwake = whenAwake;
+    whenThawed = whenAwake;
 
     freeze(): void {
       held ??= [];
@@ -72,20 +72,20 @@
       accept: (link: Link) => void,
     ): Promise<Listener> {
       const listener = await network.listen(address, link =>
-        clock.whenAwake(() => accept(wrap(link, clock))),
+        clock.whenThawed(() => accept(wrap(link, clock))),
       );
       return {
         address: listener.address,
         close: () =>
           new Promise(resolve =>
-            clock.whenAwake(() => void listener.close().then(resolve)),
+            clock.whenThawed(() => void listener.close().then(resolve)),
           ),
       };
     }
 
     async connect(address: Address): Promise<Link> {
       const link = wrap(await network.connect(address), clock);
-      return new Promise(resolve => clock.whenAwake(() => resolve(link)));
+      return new Promise(resolve => clock.whenThawed(() => resolve(link)));
     }
   })();
 }
@@ -93,11 +93,11 @@
 function wrap(link: Link, clock: FreezableTimers): Link {
   return new (class extends ForwardingLink {
     override onMessage(receive: (message: unknown) => void): void {
-      link.onMessage(message => clock.whenAwake(() => receive(message)));
+      link.onMessage(message => clock.whenThawed(() => receive(message)));
     }
 
     override onClose(closed: () => void): void {
-      link.onClose(() => clock.whenAwake(closed));
+      link.onClose(() => clock.whenThawed(closed));
     }
   })(link);
 }
--- a/src/consensus/faults.test.ts
+++ b/src/consensus/faults.test.ts
@@ -57,7 +57,7 @@
         if (known !== last.text) noteEntries(name);
         entries.set(last.index, known);
       });
-      consensus!.onRole(({role, term}) => {
+      consensus!.onRoleChange(({role, term}) => {
         if (role === 'leader') noteLeader(name, term);
       });
     },
--- a/src/consensus/follower.ts
+++ b/src/consensus/follower.ts
@@ -1,5 +1,5 @@
 import type {
-  Append,
+  AppendRequest,
   Entry,
   Membership,
   Peer,
@@ -11,7 +11,7 @@
 
 /** The follower's side of replication; learners do the same. */
 export interface Follower {
-  onAppend(from: Peer, message: Append): void;
+  onAppend(from: Peer, message: AppendRequest): void;
   onSnapshotPart(from: Peer, message: SnapshotPart): void;
   /** Acknowledges what was synced since. */
   onSynced(): void;
@@ -41,7 +41,7 @@
     });
   }
 
-  function refuse(to: string, message: Append, hint: number): void {
+  function refuse(to: string, message: AppendRequest, hint: number): void {
     send(state, to, {
       kind: 'appended',
       term: state.term,
@@ -53,7 +53,7 @@
   }
 
   /** Where the leader should try next: before the whole term that differs. */
-  function hintFor(message: Append): number {
+  function hintFor(message: AppendRequest): number {
     if (message.previousIndex > state.log.lastIndex) return state.log.lastIndex;
     const term = state.log.termAt(message.previousIndex);
     let index = message.previousIndex;
@@ -63,7 +63,7 @@
     return index;
   }
 
-  function fits(message: Append): boolean {
+  function fits(message: AppendRequest): boolean {
     if (message.previousIndex < state.log.baseIndex) return true;
     const term = state.log.termAt(message.previousIndex);
     return term !== undefined && term === message.previousTerm;
--- a/src/consensus/known-members.ts
+++ b/src/consensus/known-members.ts
@@ -5,11 +5,11 @@
 /** The members that one process knows. */
 export interface KnownMembers {
   /** Takes the members of the own log; returns whether others are to hear. */
-  follow(logged: MemberList): boolean;
+  updateFromLog(logged: MemberList): boolean;
   /** Takes what a hello tells; returns whether others are to hear. */
-  learn(told: MemberList | undefined): boolean;
+  updateFromHello(list: MemberList | undefined): boolean;
   /** Those that were told, while the own log does not know them. */
-  told(): readonly Member[];
+  reported(): readonly Member[];
   /** The newest that is known, to be told to others. */
   newest(): MemberList | undefined;
 }
@@ -31,12 +31,12 @@
 
   return {
     newest,
-    told: () => (newest() === told ? (told?.members ?? []) : []),
-    follow(list) {
+    reported: () => (newest() === told ? (told?.members ?? []) : []),
+    updateFromLog(list) {
       logged = list;
       return list.members.length > 0 && newest() === logged;
     },
-    learn(list) {
+    updateFromHello(list) {
       if (list === undefined || list.members.length === 0) return false;
       if (list.index <= indexOf(newest())) return false;
       // Its own log will tell it soon.
--- a/src/consensus/membership.test.ts
+++ b/src/consensus/membership.test.ts
@@ -219,7 +219,7 @@
   const last = group.names.find(name => ![leader, other].includes(name))!;
   const {consensus} = group.member(other);
   const seen = new Set<string>();
-  consensus!.onMembers(() => {
+  consensus!.onMembersChange(() => {
     for (const voter of consensus!.status().voters) seen.add(voter.name);
   });
   t.true((await group.settled(replace(group, last, 'd'))).ok);
--- a/src/consensus/membership.ts
+++ b/src/consensus/membership.ts
@@ -1,5 +1,5 @@
 import type {Membership, Voter} from './messages.js';
-import {isSame, membershipOf} from './core-state.js';
+import {isSamePeer, membershipOf} from './core-state.js';
 import type {CoreState} from './core-state.js';
 import type {Replication} from './replication.js';
 
@@ -10,8 +10,8 @@
 /** Changes of the group's membership, one voter at a time. */
 export interface MembershipChanges {
   /** A member told which data folder it runs on. */
-  onMet(peer: Voter): void;
-  onParted(name: string): void;
+  onPeerConnected(peer: Voter): void;
+  onPeerDisconnected(name: string): void;
   replace(leaving: string, joining: Voter): ReplaceAnswer;
   /** Takes the next step of a change in progress. */
   tick(): void;
@@ -39,7 +39,8 @@
 
   const mayChange = () =>
     state.log.membershipIndex <= state.commitIndex &&
-    (state.commitIndex >= replication.startIndex || !safeguards.ownTermChange);
+    (state.commitIndex >= replication.termStartIndex ||
+      !safeguards.ownTermChange);
 
   function propose(membership: Membership): void {
     const index = state.log.lastIndex + 1;
@@ -58,7 +59,7 @@
     const {voters, learners, replacement} = membershipOf(state);
     const returned = [...voters, ...learners].find(member => {
       const peer = met.get(member.name);
-      return peer !== undefined && !isSame(state, member, peer);
+      return peer !== undefined && !isSamePeer(state, member, peer);
     });
     if (returned === undefined) return false;
     const {name} = returned;
@@ -75,8 +76,8 @@
     const {voters, learners, replacement} = membershipOf(state);
     const ready = learners.find(learner => {
       const progress = replication.progressOf(learner.name);
-      if (progress === undefined || progress.feed !== 'stream') return false;
-      return progress.match >= state.commitIndex;
+      if (progress === undefined || progress.mode !== 'stream') return false;
+      return progress.matchIndex >= state.commitIndex;
     });
     if (ready === undefined) return false;
     propose({
@@ -179,7 +180,7 @@
   }
 
   function silenceOf(name: string): number {
-    return state.now - (replication.progressOf(name)?.heardAt ?? state.now);
+    return state.now - (replication.progressOf(name)?.contactAt ?? state.now);
   }
 
   const isMember = (name: string) => {
@@ -188,10 +189,10 @@
   };
 
   return {
-    onMet(peer) {
+    onPeerConnected(peer) {
       if (peer.name !== self.name) met.set(peer.name, peer);
     },
-    onParted(name) {
+    onPeerDisconnected(name) {
       met.delete(name);
     },
     replace(leaving, joining) {
--- a/src/consensus/messages.ts
+++ b/src/consensus/messages.ts
@@ -115,7 +115,7 @@
 }
 
 /** Entries for a follower; without entries it is a heartbeat. */
-export interface Append {
+export interface AppendRequest {
   readonly kind: 'append';
   readonly term: number;
   readonly previousIndex: number;
@@ -127,7 +127,7 @@
 }
 
 /** Answers an append. */
-export interface Appended {
+export interface AppendAnswer {
   readonly kind: 'appended';
   readonly term: number;
   readonly accepted: boolean;
@@ -152,7 +152,7 @@
 }
 
 /** Tells the leader how much of a snapshot is here. */
-export interface SnapshotTaken {
+export interface SnapshotPartAnswer {
   readonly kind: 'snapshot-taken';
   readonly term: number;
   readonly index: number;
@@ -161,7 +161,7 @@
 }
 
 /** A leader that stops asks a voter that holds its whole log to lead. */
-export interface TakeOver {
+export interface TakeOverRequest {
   readonly kind: 'take-over';
   readonly term: number;
 }
@@ -183,10 +183,10 @@
 export type Message =
   | VoteRequest
   | VoteAnswer
-  | Append
-  | Appended
+  | AppendRequest
+  | AppendAnswer
   | SnapshotPart
-  | SnapshotTaken
-  | TakeOver
+  | SnapshotPartAnswer
+  | TakeOverRequest
   | BarrierRequest
   | BarrierAnswer;
--- a/src/consensus/peers.test.ts
+++ b/src/consensus/peers.test.ts
@@ -27,14 +27,14 @@
     timers,
     random: createRandom(1),
     log: createSilentLog(),
-    reconnect: 50,
-    silence,
+    reconnectDelay: 50,
+    silenceTimeout: silence,
     hello: () => ({kind: 'hello', protocol: 1, member: self, storage: 's'}),
     onHello: () => {},
     onMessage: () => {},
-    onParted: () => {},
+    onDisconnected: () => {},
   });
-  peers.keep(other);
+  peers.maintainLink(other);
   await timers.advanceAsync(30_000);
   return links;
 }
--- a/src/consensus/peers.ts
+++ b/src/consensus/peers.ts
@@ -13,22 +13,22 @@
   readonly random: Random;
   readonly log: Log;
   /** Milliseconds before a lost link is tried again, at least. */
-  readonly reconnect: number;
+  readonly reconnectDelay: number;
   /** Milliseconds without a sign of life after which a link is opened anew. */
-  readonly silence: number;
+  readonly silenceTimeout: number;
   /** The hello that is current. */
   readonly hello: () => Hello;
   /** A member introduced itself, perhaps again. */
   readonly onHello: (hello: Hello) => void;
   readonly onMessage: (hello: Hello, message: Message) => void;
   /** The link from a member ended. */
-  readonly onParted: (hello: Hello) => void;
+  readonly onDisconnected: (hello: Hello) => void;
 }
 
 /** Links to and from the other members. */
 export interface Peers {
   /** Keeps a link to a member from now on. */
-  keep(member: Member): void;
+  maintainLink(member: Member): void;
   /** Sends if there is a link that takes it; else drops the message. */
   send(name: string, message: Message): void;
   /** Sends the current hello again, to all or to those that `concerns` chooses. */
@@ -62,7 +62,14 @@
  * direction shows as one.
  */
 export async function createPeers(options: PeersOptions): Promise<Peers> {
-  const {self, network, timers, random, log, reconnect} = options;
+  const {
+    self,
+    network,
+    timers,
+    random,
+    log,
+    reconnectDelay: reconnect,
+  } = options;
   const outgoing = new Map<string, Outgoing>();
   const accepted = new Set<Link>();
   let closedBytes = 0;
@@ -106,7 +113,7 @@
   function checkLink(target: Outgoing): void {
     const {link} = target;
     if (link === undefined) return;
-    if (timers.now() - target.heardAt < options.silence) {
+    if (timers.now() - target.heardAt < options.silenceTimeout) {
       link.send({kind: 'ping'});
       return;
     }
@@ -161,7 +168,7 @@
     });
     link.onClose(() => {
       accepted.delete(link);
-      if (hello !== undefined && !isStopped) options.onParted(hello);
+      if (hello !== undefined && !isStopped) options.onDisconnected(hello);
     });
   }
 
@@ -172,12 +179,15 @@
   }
 
   const listener: Listener = await network.listen(self.address, accept);
-  const checking = timers.every(options.silence / pingsPerSilence, () => {
-    for (const target of outgoing.values()) checkLink(target);
-  });
+  const checking = timers.every(
+    options.silenceTimeout / pingsPerSilence,
+    () => {
+      for (const target of outgoing.values()) checkLink(target);
+    },
+  );
 
   return {
-    keep(member) {
+    maintainLink(member) {
       if (member.name === self.name) return;
       const known = outgoing.get(member.name);
       if (known?.member.address === member.address) {
--- a/src/consensus/reads.ts
+++ b/src/consensus/pending-reads.ts
@@ -4,7 +4,7 @@
 import {consensusCodes} from './codes.js';
 
 /** Read barriers that callers of this process wait for. */
-export interface Reads {
+export interface PendingReads {
   wait(): Promise<Result<number>>;
   /** A barrier request ended; without an index it proved nothing. */
   onBarrier(id: number, index: number | undefined): void;
@@ -27,10 +27,10 @@
 }
 
 /** What the register of reads needs. */
-export interface ReadsOptions {
+export interface PendingReadsOptions {
   readonly timers: Timers;
   /** Milliseconds after which a request is sent again. */
-  readonly retry: number;
+  readonly resendAfter: number;
   /** Milliseconds after which a waiter is told that there is no quorum. */
   readonly timeout: number;
   readonly request: (id: number) => void;
@@ -41,8 +41,8 @@
  * Creates the register of reads. One request is out at a time; callers that
  * come meanwhile share the next one.
  */
-export function createReads(options: ReadsOptions): Reads {
-  const {timers, retry, timeout, request, appliedIndex} = options;
+export function createPendingReads(options: PendingReadsOptions): PendingReads {
+  const {timers, resendAfter: retry, timeout, request, appliedIndex} = options;
   let waiting: Waiter[] = [];
   let sent: Request | undefined;
   let proved: Array<{index: number; waiters: Waiter[]}> = [];
--- a/src/consensus/progress.ts
+++ b/src/consensus/progress.ts
@@ -6,28 +6,28 @@
  * - `stream`: batches ahead of the acknowledgements, within a window.
  * - `snapshot`: the log no longer reaches it; parts of a snapshot, one by one.
  */
-export type Feed = 'probe' | 'stream' | 'snapshot';
+export type ReplicationMode = 'probe' | 'stream' | 'snapshot';
 
 /** What the leader knows of one follower or learner. */
 export interface Progress {
   readonly peer: Voter;
-  feed: Feed;
+  mode: ReplicationMode;
   /** Index of the next entry to send. */
-  next: number;
+  nextIndex: number;
   /** Synced there and equal to the own log up to here. */
-  match: number;
+  matchIndex: number;
   /** Last index of each batch sent and not acknowledged. */
-  batches: number[];
+  pendingBatches: number[];
   /** Bytes of the snapshot that are there. */
   offset: number;
   /** Index of the snapshot being sent. */
   snapshotIndex: number;
   /** When an answer last came. */
-  heardAt: number;
+  contactAt: number;
   /** When a probe or snapshot part left that has no answer yet. */
   waitingSince: number | undefined;
   /** Latest quorum round it answered. */
-  round: number;
+  answeredRound: number;
 }
 
 /** Creates what is known of a member at the start of a term. */
@@ -38,14 +38,14 @@
 ): Progress {
   return {
     peer,
-    feed: 'probe',
-    next: lastIndex + 1,
-    match: 0,
-    batches: [],
+    mode: 'probe',
+    nextIndex: lastIndex + 1,
+    matchIndex: 0,
+    pendingBatches: [],
     offset: 0,
     snapshotIndex: 0,
-    heardAt: now,
+    contactAt: now,
     waitingSince: undefined,
-    round: 0,
+    answeredRound: 0,
   };
 }
--- a/src/consensus/barrier.test.ts
+++ b/src/consensus/read-barriers.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
 import {consensusCodes} from './codes.js';
 import {startTestGroup} from './fakes/group.js';
-import type {Append} from './messages.js';
+import type {AppendRequest} from './messages.js';
 
 /** Reads at a leader that was cut off while another accepted a change. */
 async function readAtCutOff(quorumRead: boolean) {
@@ -39,7 +39,7 @@
   await group.run(200);
   const rounds = new Set<number>();
   group.network.decide((_source, _target, message) => {
-    const {kind, round} = message as Append;
+    const {kind, round} = message as AppendRequest;
     if (kind === 'append') rounds.add(round);
     return 'deliver';
   });
--- a/src/consensus/barrier.ts
+++ b/src/consensus/read-barriers.ts
@@ -4,7 +4,7 @@
 import type {Replication} from './replication.js';
 
 /** Read barriers: an index that no accepted change lies beyond. */
-export interface Barriers {
+export interface ReadBarriers {
   /** Asks for one on behalf of this process. */
   request(id: number): void;
   onRequest(from: Peer, message: BarrierRequest): void;
@@ -27,10 +27,10 @@
  * its answers may have left before another leader accepted a change. So a
  * request waits for the next round, which all that came meanwhile share.
  */
-export function createBarriers(
+export function createReadBarriers(
   state: CoreState,
   replication: Replication,
-): Barriers {
+): ReadBarriers {
   let waiting: Waiter[] = [];
   let running: Waiter[] = [];
   let round: number | undefined;
@@ -46,11 +46,11 @@
   }
 
   /** Before its first commit a leader does not know what was committed. */
-  const isReady = () => state.commitIndex >= replication.startIndex;
+  const isReady = () => state.commitIndex >= replication.termStartIndex;
 
   function begin(): void {
     if (waiting.length === 0 || !isReady()) return;
-    const least = replication.startIndex;
+    const least = replication.termStartIndex;
     running = waiting.map(waiter => ({
       ...waiter,
       index: Math.max(waiter.index, least),
@@ -60,7 +60,8 @@
   }
 
   function finish(): boolean {
-    if (round === undefined || !replication.isRoundOver(round)) return false;
+    if (round === undefined || !replication.isRoundConfirmed(round))
+      return false;
     for (const waiter of running) answer(waiter, waiter.index);
     running = [];
     round = undefined;
--- a/src/consensus/replication.test.ts
+++ b/src/consensus/replication.test.ts
@@ -6,7 +6,7 @@
 import {allSafeguards} from './core-state.js';
 import type {Action, Safeguards} from './core-state.js';
 import {startTestGroup} from './fakes/group.js';
-import type {Append, Entry, Message, Voter} from './messages.js';
+import type {AppendRequest, Entry, Message, Voter} from './messages.js';
 
 /** Bytes of entries sent to a frozen follower while the others accept. */
 async function feedFrozen(flowControl: boolean) {
@@ -15,7 +15,7 @@
   const frozen = group.names.find(name => name !== leader)!;
   let bytes = 0;
   group.network.decide((_source, target, message) => {
-    const {kind, entries} = message as Append;
+    const {kind, entries} = message as AppendRequest;
     if (kind !== 'append' || target !== frozen) return 'deliver';
     for (const entry of entries) {
       if (entry.kind === 'command') bytes += entry.data.length;
@@ -47,7 +47,7 @@
 
 test('changes beyond the limits are refused as not run instead of piling up', async t => {
   // The majority is away for a moment while programs go on sending changes.
-  for (const limits of [{openLimit: 10}, {openBytesLimit: 10}]) {
+  for (const limits of [{pendingLimit: 10}, {pendingBytesLimit: 10}]) {
     const group = await startTestGroup(3, limits);
     const {consensus} = group.member(group.leader()!);
     const calls = Array.from({length: 20}, () =>
--- a/src/consensus/replication.ts
+++ b/src/consensus/replication.ts
@@ -1,9 +1,15 @@
-import type {Appended, Entry, Peer, SnapshotTaken, Voter} from './messages.js';
+import type {
+  AppendAnswer,
+  Entry,
+  Peer,
+  SnapshotPartAnswer,
+  Voter,
+} from './messages.js';
 import {
   adoptTerm,
   appendEntries,
   commitTo,
-  isSame,
+  isSamePeer,
   majorityOf,
   membershipOf,
   roleOf,
@@ -26,19 +32,19 @@
 /** The leader's side of replication. */
 export interface Replication {
   /** Begins a term as its leader. */
-  start(): void;
+  startTerm(): void;
   /** Index of the entry that began this term. */
-  readonly startIndex: number;
+  readonly termStartIndex: number;
   tick(): void;
   append(entries: Entry[]): void;
   /** Takes note that own entries were synced. */
   onSynced(): void;
-  onAppended(from: Peer, message: Appended): void;
-  onSnapshotTaken(from: Peer, message: SnapshotTaken): void;
+  onAppendAnswer(from: Peer, message: AppendAnswer): void;
+  onSnapshotPartAnswer(from: Peer, message: SnapshotPartAnswer): void;
   /** Sends heartbeats now, under a new round number, which it returns. */
   beginRound(): number;
   /** Whether a majority answered a round. */
-  isRoundOver(round: number): boolean;
+  isRoundConfirmed(round: number): boolean;
   progressOf(name: string): Progress | undefined;
   /** Asks a voter that holds the whole log to lead, if there is one. */
   handOver(): void;
@@ -66,7 +72,7 @@
   }
 
   function sendAppend(progress: Progress, entries: readonly Entry[]): void {
-    const previousIndex = progress.next - 1;
+    const previousIndex = progress.nextIndex - 1;
     send(state, progress.peer.name, {
       kind: 'append',
       term: state.term,
@@ -79,24 +85,24 @@
   }
 
   function stream(progress: Progress): boolean {
-    const first = progress.next;
+    const first = progress.nextIndex;
     // Without a bound, a follower that stalls makes the leader hold and send
     // its whole backlog again and again, until it serves nobody in time.
     const window = safeguards.flowControl ? windowBatches : Infinity;
     while (
-      progress.next <= state.log.lastIndex &&
-      progress.batches.length < window
+      progress.nextIndex <= state.log.lastIndex &&
+      progress.pendingBatches.length < window
     ) {
       const entries = nextBatch(progress);
       sendAppend(progress, entries);
-      progress.next = entries.at(-1)!.index + 1;
-      progress.batches.push(progress.next - 1);
+      progress.nextIndex = entries.at(-1)!.index + 1;
+      progress.pendingBatches.push(progress.nextIndex - 1);
     }
-    return progress.next > first;
+    return progress.nextIndex > first;
   }
 
   const nextBatch = (progress: Progress) =>
-    state.log.after(progress.next - 1, batchEntries, batchBytes);
+    state.log.after(progress.nextIndex - 1, batchEntries, batchBytes);
 
   function probe(progress: Progress): void {
     if (progress.waitingSince !== undefined) return;
@@ -126,14 +132,14 @@
 
   /** Entries that the log has dropped can only come as a snapshot. */
   function chooseFeed(progress: Progress): void {
-    if (progress.next <= state.log.baseIndex) progress.feed = 'snapshot';
+    if (progress.nextIndex <= state.log.baseIndex) progress.mode = 'snapshot';
   }
 
   /** Sends what may be sent; true when an append went out. */
   function feed(progress: Progress): boolean {
     chooseFeed(progress);
-    if (progress.feed === 'stream') return stream(progress);
-    if (progress.feed === 'snapshot') sendPart(progress);
+    if (progress.mode === 'stream') return stream(progress);
+    if (progress.mode === 'snapshot') sendPart(progress);
     else probe(progress);
     return false;
   }
@@ -150,14 +156,14 @@
         since !== undefined && state.now - since >= electionTimeout;
       if (isLost) progress.waitingSince = undefined;
       chooseFeed(progress);
-      if (progress.feed === 'snapshot') sendPart(progress);
+      if (progress.mode === 'snapshot') sendPart(progress);
       else sendAppend(progress, []);
     }
   }
 
   function matchOf(voter: Voter): number {
-    if (isSame(state, voter, self)) return state.syncedIndex;
-    return members.get(voter.name)?.match ?? 0;
+    if (isSamePeer(state, voter, self)) return state.syncedIndex;
+    return members.get(voter.name)?.matchIndex ?? 0;
   }
 
   /**
@@ -174,8 +180,8 @@
     if (!isOwn && safeguards.ownTermCommit) return;
     commitTo(state, index);
     for (const progress of members.values()) {
-      const isIdle = progress.feed === 'stream' && !feed(progress);
-      if (isIdle && progress.next > state.log.lastIndex) {
+      const isIdle = progress.mode === 'stream' && !feed(progress);
+      if (isIdle && progress.nextIndex > state.log.lastIndex) {
         sendAppend(progress, []);
       }
     }
@@ -188,8 +194,8 @@
   function checkQuorum(): void {
     if (!safeguards.checkQuorum) return;
     const heard = membershipOf(state).voters.filter(voter => {
-      if (isSame(state, voter, self)) return true;
-      const at = members.get(voter.name)?.heardAt ?? -Infinity;
+      if (isSamePeer(state, voter, self)) return true;
+      const at = members.get(voter.name)?.contactAt ?? -Infinity;
       return state.now - at < electionTimeout;
     });
     if (heard.length < majorityOf(state)) stepDown(state);
@@ -198,45 +204,47 @@
   /** The member behind an answer of this term, or undefined. */
   function findAnswerer(
     from: Peer,
-    message: Appended | SnapshotTaken,
+    message: AppendAnswer | SnapshotPartAnswer,
   ): Progress | undefined {
     adoptTerm(state, message.term);
     if (roleOf(state) !== 'leader' || message.term !== state.term) return;
     const progress = members.get(from.name);
     if (progress === undefined) return;
-    if (!isSame(state, progress.peer, from)) return;
-    progress.heardAt = state.now;
-    progress.round = Math.max(progress.round, message.round);
+    if (!isSamePeer(state, progress.peer, from)) return;
+    progress.contactAt = state.now;
+    progress.answeredRound = Math.max(progress.answeredRound, message.round);
     return progress;
   }
 
   function onAccepted(progress: Progress, matchIndex: number): void {
-    if (progress.feed === 'probe') progress.waitingSince = undefined;
+    if (progress.mode === 'probe') progress.waitingSince = undefined;
     const isReached = matchIndex >= progress.snapshotIndex;
-    if (progress.feed !== 'snapshot' || isReached) progress.feed = 'stream';
-    if (matchIndex > progress.match) progress.match = matchIndex;
-    progress.next = Math.max(progress.next, progress.match + 1);
-    const {match} = progress;
-    progress.batches = progress.batches.filter(last => last > match);
+    if (progress.mode !== 'snapshot' || isReached) progress.mode = 'stream';
+    if (matchIndex > progress.matchIndex) progress.matchIndex = matchIndex;
+    progress.nextIndex = Math.max(progress.nextIndex, progress.matchIndex + 1);
+    const {matchIndex: match} = progress;
+    progress.pendingBatches = progress.pendingBatches.filter(
+      last => last > match,
+    );
     advanceCommit();
   }
 
-  function onRefused(progress: Progress, message: Appended): void {
-    if (progress.feed === 'snapshot') return;
-    if (message.previousIndex <= progress.match) return;
+  function onRefused(progress: Progress, message: AppendAnswer): void {
+    if (progress.mode === 'snapshot') return;
+    if (message.previousIndex <= progress.matchIndex) return;
     const hint = Math.min(message.matchIndex + 1, message.previousIndex);
-    progress.next = Math.max(progress.match + 1, hint);
-    progress.batches = [];
+    progress.nextIndex = Math.max(progress.matchIndex + 1, hint);
+    progress.pendingBatches = [];
     progress.waitingSince = undefined;
     // A folder without a group has no log to append to, not even an empty one.
-    progress.feed = message.matchIndex < 0 ? 'snapshot' : 'probe';
+    progress.mode = message.matchIndex < 0 ? 'snapshot' : 'probe';
   }
 
   return {
-    get startIndex() {
+    get termStartIndex() {
       return startIndex;
     },
-    start() {
+    startTerm() {
       members = new Map();
       round = 0;
       beatAt = state.now;
@@ -258,16 +266,16 @@
     onSynced() {
       advanceCommit();
     },
-    onAppended(from, message) {
+    onAppendAnswer(from, message) {
       const progress = findAnswerer(from, message);
       if (progress === undefined) return;
       if (message.accepted) onAccepted(progress, message.matchIndex);
       else onRefused(progress, message);
       feed(progress);
     },
-    onSnapshotTaken(from, message) {
+    onSnapshotPartAnswer(from, message) {
       const progress = findAnswerer(from, message);
-      if (progress === undefined || progress.feed !== 'snapshot') return;
+      if (progress === undefined || progress.mode !== 'snapshot') return;
       if (message.index !== progress.snapshotIndex) return;
       progress.offset = message.offset;
       progress.waitingSince = undefined;
@@ -281,12 +289,12 @@
       beat();
       return round;
     },
-    isRoundOver(wanted) {
+    isRoundConfirmed(wanted) {
       if (!safeguards.quorumRead) return true;
       const answered = membershipOf(state).voters.filter(
         voter =>
-          isSame(state, voter, self) ||
-          (members.get(voter.name)?.round ?? 0) >= wanted,
+          isSamePeer(state, voter, self) ||
+          (members.get(voter.name)?.answeredRound ?? 0) >= wanted,
       );
       return answered.length >= majorityOf(state);
     },
@@ -294,8 +302,8 @@
     handOver() {
       const heir = membershipOf(state).voters.find(({name}) => {
         const progress = members.get(name);
-        if (progress?.match !== state.log.lastIndex) return false;
-        return state.now - progress.heardAt < electionTimeout;
+        if (progress?.matchIndex !== state.log.lastIndex) return false;
+        return state.now - progress.contactAt < electionTimeout;
       });
       if (heir === undefined) return;
       send(state, heir.name, {kind: 'take-over', term: state.term});
--- a/src/consensus/status-view.ts
+++ b/src/consensus/status-view.ts
@@ -6,16 +6,16 @@
 /** What a view of the group is made from. */
 export interface StatusViewOptions {
   /** This process as a member. */
-  readonly me: Voter;
+  readonly selfVoter: Voter;
   readonly state: Readonly<CoreState>;
-  readonly links: Pick<GroupLinks, 'find' | 'told' | 'bytesOut'>;
+  readonly links: Pick<GroupLinks, 'find' | 'reportedMembers' | 'bytesOut'>;
   /** Size of the log on disk in bytes. */
   readonly logBytes: () => number;
 }
 
 /** Creates the view that a process gives of its group. */
 export function createStatusView(options: StatusViewOptions): () => Status {
-  const {me, state, links, logBytes} = options;
+  const {selfVoter: me, state, links, logBytes} = options;
 
   /** A member as it last told of itself, where it stands at other ports now. */
   function view(member: Voter): Voter {
@@ -40,7 +40,7 @@
       snapshotIndex: state.snapshot.index,
       voters: voters.map(view),
       learners: learners.map(view),
-      told: links.told,
+      reportedMembers: links.reportedMembers,
       bytesOut: links.bytesOut,
       logBytes: logBytes(),
     };
--- a/src/consensus/storage-identity.test.ts
+++ b/src/consensus/storage-identity.test.ts
@@ -78,7 +78,7 @@
   const seen = new Set<string>();
   await group.start(emptied);
   const {consensus, journal} = group.member(emptied);
-  consensus!.onRole(({role}) => {
+  consensus!.onRoleChange(({role}) => {
     if (role === 'follower') t.true(journal.entries.length === 20);
     seen.add(role);
   });
--- a/src/consensus/storage-log.test.ts
+++ b/src/consensus/storage-log.test.ts
@@ -6,7 +6,7 @@
 import {consensusCodes} from './codes.js';
 import type {Entry} from './messages.js';
 import {createStorageLog, openStorageLog} from './storage-log.js';
-import type {FoundLog} from './storage-log.js';
+import type {OpenedLog} from './storage-log.js';
 
 const entry = (index: number, term = 1): Entry => ({
   kind: 'command',
@@ -15,9 +15,9 @@
   data: Buffer.from(`change ${index} of term ${term}`),
 });
 
-const indexesOf = (found: FoundLog) => found.entries.map(({index}) => index);
+const indexesOf = (found: OpenedLog) => found.entries.map(({index}) => index);
 
-async function createLog(disk: FakeDisk): Promise<FoundLog> {
+async function createLog(disk: FakeDisk): Promise<OpenedLog> {
   const folder = disk.open();
   await createStorageLog(folder, 0, 0);
   return openStorageLog(folder);
@@ -62,7 +62,7 @@
   // after it would be cut although they were synced and acknowledged.
   const disk = createFakeDisk();
   await writeThree(disk, false);
-  disk.flip('log', 60);
+  disk.flipBit('log', 60);
   const failure = await t.throwsAsync(openStorageLog(disk.open()), isDamaged);
   t.is((failure as unknown as Failure).code, consensusCodes.logDamaged);
   const unchecked = await openStorageLog(disk.open(), false);
@@ -75,12 +75,12 @@
   const size = 60;
   const marked = createFakeDisk();
   await writeThree(marked, true);
-  marked.flip('log', -size);
+  marked.flipBit('log', -size);
   await t.throwsAsync(openStorageLog(marked.open()), isDamaged);
 
   const unmarked = createFakeDisk();
   await writeThree(unmarked, false);
-  unmarked.flip('log', -1);
+  unmarked.flipBit('log', -1);
   const found = await openStorageLog(unmarked.open());
   t.deepEqual(indexesOf(found), [1, 2]);
 });
--- a/src/consensus/storage-log.ts
+++ b/src/consensus/storage-log.ts
@@ -35,7 +35,7 @@
 }
 
 /** A log as it was found on disk. */
-export interface FoundLog {
+export interface OpenedLog {
   readonly log: StorageLog;
   readonly baseIndex: number;
   readonly baseTerm: number;
@@ -79,7 +79,7 @@
 export async function openStorageLog(
   disk: Disk,
   isTailChecked = true,
-): Promise<FoundLog> {
+): Promise<OpenedLog> {
   const content = await disk.read(file);
   if (content === undefined) throw damaged('the log file is missing');
   const scan = scanLog(content);
--- a/src/consensus/storage.ts
+++ b/src/consensus/storage.ts
@@ -2,14 +2,14 @@
 import type {Disk} from '../disk/disk.js';
 import {Failure} from '../result/failure.js';
 import {consensusCodes} from './codes.js';
-import type {Stored} from './core-state.js';
+import type {StoredState} from './core-state.js';
 import {
   readIdentity,
   readSnapshot,
   writeIdentity,
   writeSnapshot,
-} from './folder.js';
-import type {Identity} from './folder.js';
+} from './data-folder.js';
+import type {Identity} from './data-folder.js';
 import type {Entry, Membership, Snapshot, Vote, Voter} from './messages.js';
 import {createStorageLog, openStorageLog} from './storage-log.js';
 import type {StorageLog} from './storage-log.js';
@@ -18,7 +18,7 @@
 export interface Storage {
   readonly identity: Identity;
   /** What was found at the start. */
-  readonly stored: Stored;
+  readonly stored: StoredState;
   /** Size of the log file in bytes. */
   readonly logBytes: number;
   /** Whether the log itself tells up to where it was synced. */
@@ -46,7 +46,7 @@
 const noMembership: Membership = {voters: [], learners: []};
 
 /** The state before the first entry of a group. */
-export function createGenesis(founders: readonly Voter[]): Snapshot {
+export function createInitialSnapshot(founders: readonly Voter[]): Snapshot {
   const membership = {voters: founders, learners: []};
   return {index: 0, term: 0, membership, data: new Uint8Array()};
 }
@@ -55,7 +55,7 @@
  * The group's identity: the data folders that founded it. A group formed by
  * other folders, even under the same names, is another group.
  */
-export function groupOf(founders: readonly Voter[]): string {
+export function groupIdOf(founders: readonly Voter[]): string {
   const names = founders.map(({name, storage}) => `${name}=${storage}`);
   const hash = createHash('sha256').update(names.sort().join(' '));
   return hash.digest('hex').slice(0, 16);
@@ -83,7 +83,7 @@
 
 function openNew(disk: Disk, identity: Identity): Storage {
   const {term, votedFor} = identity;
-  const snapshot = {...createGenesis([]), membership: noMembership};
+  const snapshot = {...createInitialSnapshot([]), membership: noMembership};
   return manage(disk, identity, undefined, {
     vote: {term, votedFor},
     snapshot,
@@ -136,7 +136,7 @@
   disk: Disk,
   found: Identity,
   opened: StorageLog | undefined,
-  stored: Stored,
+  stored: StoredState,
 ): Storage {
   let identity = found;
   let log = opened;
--- a/src/consensus/writer.ts
+++ b/src/consensus/writer.ts
@@ -4,7 +4,7 @@
 import {toFailure} from './storage-failure.js';
 
 /** One thing for the disk, or one that must wait for the disk. */
-export type Job =
+export type WriterJob =
   | {readonly kind: 'save-vote'; readonly vote: Vote}
   | {
       readonly kind: 'append';
@@ -41,9 +41,9 @@
 /** Does the disk's work in order, one piece at a time. */
 export interface Writer {
   /** Whether a vote is not durable yet, so that sends must wait. */
-  readonly holdsVote: boolean;
+  readonly hasPendingVote: boolean;
   readonly isIdle: boolean;
-  push(job: Job): void;
+  push(job: WriterJob): void;
   /** Lets what was begun end and takes no more. */
   stop(): Promise<void>;
 }
@@ -62,17 +62,19 @@
   events: WriterEvents,
   options: WriterOptions,
 ): Writer {
-  let jobs: Job[] = [];
+  let jobs: WriterJob[] = [];
   let votes = 0;
   let running: Promise<void> | undefined;
   let isStopped = false;
 
   /** The entries of all appends at the head of the queue. */
-  function takeAppends(first: Job & {kind: 'append'}): Job & {kind: 'append'} {
+  function takeAppends(
+    first: WriterJob & {kind: 'append'},
+  ): WriterJob & {kind: 'append'} {
     const entries = [...first.entries];
     let {epoch} = first;
     while (options.groupCommit && jobs[0]?.kind === 'append') {
-      const next = jobs.shift() as Job & {kind: 'append'};
+      const next = jobs.shift() as WriterJob & {kind: 'append'};
       entries.push(...next.entries);
       ({epoch} = next);
     }
@@ -89,7 +91,7 @@
     for (const entry of entries) await append([entry], epoch);
   }
 
-  async function run(job: Job): Promise<void> {
+  async function run(job: WriterJob): Promise<void> {
     switch (job.kind) {
       case 'save-vote':
         await storage.saveVote(job.vote);
@@ -148,13 +150,13 @@
   }
 
   /** The unsafe way: takes the failed sync for a passing trouble. */
-  function retry(job: Job): void {
+  function retry(job: WriterJob): void {
     if (job.kind !== 'append') return;
     events.onSynced(job.entries.at(-1)!.index, job.epoch);
   }
 
   return {
-    get holdsVote() {
+    get hasPendingVote() {
       return votes > 0;
     },
     get isIdle() {
--- a/src/control/member-directory.test.ts
+++ b/src/control/member-directory.test.ts
@@ -26,7 +26,7 @@
   const directory = createMemberDirectory(
     {
       status: () => ({voters, learners: [], told}) as unknown as Status,
-      onMembers: observe => void observers.push(observe),
+      onMembersChange: observe => void observers.push(observe),
     },
     founders,
     'control-9',
@@ -51,7 +51,7 @@
 test('before the group is formed the settings count', t => {
   const {directory} = stage();
   t.deepEqual(
-    directory.fellows(),
+    directory.peerAddresses(),
     founders.map(one => one.distributionAddress),
   );
   t.is(directory.operatorAddress('control-2'), '10.0.0.2:7001');
@@ -62,7 +62,7 @@
   const {directory, become} = stage();
   become([1, 2, 3].map(old));
   t.is(directory.operatorAddress('control-3'), '10.0.0.3:7001');
-  t.is(directory.fellows().length, 3);
+  t.is(directory.peerAddresses().length, 3);
 });
 
 test('a member that replaced another is known by what it told', t => {
@@ -76,7 +76,7 @@
   become([old(2), old(3), joined]);
   t.is(directory.operatorAddress('control-4'), '10.0.0.4:7001');
   const addresses = ['10.0.0.2:7002', '10.0.0.3:7002', '10.0.0.4:7002'];
-  t.deepEqual(directory.fellows(), addresses);
+  t.deepEqual(directory.peerAddresses(), addresses);
   t.deepEqual(
     directory.homes().map(({address}) => address),
     addresses,
@@ -116,7 +116,7 @@
   const directory = createMemberDirectory(
     {
       status: () => ({voters: [], learners: [], told: []}) as unknown as Status,
-      onMembers: () => {},
+      onMembersChange: () => {},
     },
     [founder(1)],
     'control-1',
@@ -142,7 +142,7 @@
     ['10.0.0.4:7002', '10.0.0.5:7002'],
   );
   t.deepEqual(
-    directory.fellows(),
+    directory.peerAddresses(),
     founders.map(one => one.distributionAddress),
   );
   t.true(/^10\.0\.0\.[45]:7001$/.test(directory.memberAddress() ?? ''));
--- a/src/control/member-directory.ts
+++ b/src/control/member-directory.ts
@@ -13,7 +13,7 @@
   /** Where operators reach a member; undefined when nobody knows. */
   operatorAddress(name: string): Address | undefined;
   /** Where the other members take links, this one's address among them. */
-  fellows(): readonly Address[];
+  peerAddresses(): readonly Address[];
   /** The voters as homes of nodes; the same array until they change. */
   homes(): readonly HomeAddress[];
   /**
@@ -27,7 +27,7 @@
 
 /** Creates the directory over a group; a group not formed yet has none. */
 export function createMemberDirectory(
-  consensus: Pick<Consensus, 'status' | 'onMembers'>,
+  consensus: Pick<Consensus, 'status' | 'onMembersChange'>,
   founders: ControlSettings['members'],
   self: string,
   random: Random,
@@ -50,7 +50,7 @@
    * name only such processes would go round them and never find a member.
    */
   function listMembers() {
-    const {voters, learners, told} = consensus.status();
+    const {voters, learners, reportedMembers: told} = consensus.status();
     if (told.length > 0) return {voters: told, learners: []};
     return {voters, learners};
   }
@@ -74,7 +74,7 @@
     });
   }
 
-  consensus.onMembers(() => {
+  consensus.onMembersChange(() => {
     const before = JSON.stringify([fellows, homes]);
     const next = {fellows: listFellows(), homes: listHomes()};
     if (JSON.stringify([next.fellows, next.homes]) === before) return;
@@ -113,7 +113,7 @@
   return {
     memberAddress,
     operatorAddress,
-    fellows: () => fellows,
+    peerAddresses: () => fellows,
     homes: () => homes,
     onChange: observe => void observers.push(observe),
   };
--- a/src/disk/fakes/fake-disk.ts
+++ b/src/disk/fakes/fake-disk.ts
@@ -21,7 +21,7 @@
    */
   crash(random?: Random): void;
   /** Flips one bit of a durable byte; a negative offset counts from the end. */
-  flip(name: string, offset: number): void;
+  flipBit(name: string, offset: number): void;
   /** Empties the folder, as a replaced disk is. */
   wipe(): void;
   /** Fails the next sync; as in a kernel, its bytes are then gone for good. */
@@ -176,7 +176,7 @@
         file.pending = [];
       }
     },
-    flip(name, offset) {
+    flipBit(name, offset) {
       const file = files.get(name)!;
       const content = contentOf(file);
       const at = offset < 0 ? content.length + offset : offset;
--- a/src/operator/operator-server.test.ts
+++ b/src/operator/operator-server.test.ts
@@ -32,7 +32,7 @@
 // Without the table the change would run again and the second run would answer.
 test('a change whose answer was lost runs once', async t => {
   const {group, addresses} = await deploy(t);
-  group.decide('commit-and-lose');
+  group.planOutcomes('commit-and-lose');
   const reply = await clientOf(addresses).change(command);
   t.true(reply.ok && reply.value.version === 1);
   t.is(group.entries().length, 2);
@@ -41,7 +41,7 @@
 
 test('a change without any answer ends as unknown, without a process as not sent', async t => {
   const {group, addresses, close} = await deploy(t);
-  group.decide(...Array.from({length: 500}, () => 'lose' as const));
+  group.planOutcomes(...Array.from({length: 500}, () => 'lose' as const));
   const unknown = await createHastyClient(addresses).change(command);
   t.false(unknown.ok);
   t.is(unknown.ok ? '' : unknown.refusal.effect, 'unknown');
@@ -56,7 +56,7 @@
 test('a refusal after a lost answer is an unknown outcome', async t => {
   const limitOf = (name: string) => (name === 'control-1' ? 3 : 0);
   const {group, addresses} = await deploy(t, undefined, limitOf);
-  group.decide('commit-and-lose');
+  group.planOutcomes('commit-and-lose');
   const reply = await clientOf(addresses).change(command);
   t.is(reply.ok ? 0 : reply.refusal.code, 2005);
   t.is(reply.ok ? '' : reply.refusal.effect, 'unknown');
