--- a/src/consensus/applier.ts
+++ b/src/consensus/applier.ts
@@ -4,26 +4,26 @@
 import type {Proposals} from './proposals.js';
 import type {WriterJob} from './writer.js';
 
-/** Brings committed entries into the state machine. */
+/** Applies committed entries to the state machine and takes snapshots. */
 export interface Applier {
   /** Index of the last entry applied. */
   readonly index: number;
   /** Applies entries up to `index`. */
   apply(index: number): void;
-  /** Replaces the state by a snapshot's. */
+  /** Replaces the state by that of a snapshot. */
   restore(snapshot: Snapshot): void;
-  /** Takes note that the snapshot on its way is durable. */
+  /** Called when the snapshot that is being saved is durable. */
   onSnapshotSaved(): void;
   observe(observer: (index: number) => void): void;
 }
 
-/** What the applier works with. */
+/** Options of createApplier. */
 export interface ApplierOptions {
   readonly state: Readonly<CoreState>;
   readonly machine: StateMachine;
   readonly proposals: Proposals;
   readonly snapshotEntries: number;
-  /** Hands a snapshot to the disk. */
+  /** Queues a snapshot for the writer. */
   readonly save: (job: WriterJob) => void;
 }
 
@@ -57,7 +57,7 @@
       membership: state.log.membershipAt(applied),
       data: machine.snapshot(),
     };
-    // A follower a little behind is still fed from the log.
+    // Recent entries are kept so that a follower slightly behind needs no snapshot.
     const keepAfter = Math.max(state.log.baseIndex, applied - snapshotEntries);
     const keepAfterTerm = state.log.termAt(keepAfter)!;
     save({kind: 'save-snapshot', snapshot, keepAfter, keepAfterTerm});
--- a/src/consensus/consensus.ts
+++ b/src/consensus/consensus.ts
@@ -1,31 +1,40 @@
 import type {Result} from '../result/failure.js';
 
-/** The replicated state: the same entries in the same order give the same state. */
+/**
+ * The replicated state machine. It must be deterministic: the same entries in
+ * the same order give the same state.
+ */
 export abstract class StateMachine {
-  /** Applies one committed entry; its answer goes to the proposer. */
+  /** Applies one committed entry; the result is returned to the proposer. */
   abstract apply(index: number, entry: Uint8Array): Uint8Array;
-  /** The whole state as bytes. */
+  /** Serializes the whole state. */
   abstract snapshot(): Uint8Array;
-  /** Replaces the whole state. */
+  /** Replaces the whole state by that of a snapshot at `index`. */
   abstract restore(index: number, snapshot: Uint8Array): void;
 }
 
-/** What a voter is at the moment. */
+/** The present role of a process in the group. */
 export type Role = 'learner' | 'follower' | 'candidate' | 'leader';
 
-/** One control process as the others know it. */
+/** One control process of the group, with its addresses. */
 export interface Member {
   readonly name: string;
-  /** Where it takes peer messages. */
+  /** Address of its listener for the other members. */
   readonly address: string;
   readonly failureDomain: string;
-  /** Where operators reach it; told by itself, absent while it has not. */
+  /**
+   * Address of its listener for operators. The member announces it itself; it is
+   * absent until then.
+   */
   readonly operatorAddress?: string;
-  /** Where nodes, relays and fellows reach it; told by itself as well. */
+  /**
+   * Address of its listener for nodes, relays and other control processes,
+   * announced by the member itself as well.
+   */
   readonly distributionAddress?: string;
 }
 
-/** A view of one control process, for operators and metrics. */
+/** The state of one control process, for operators and metrics. */
 export interface Status {
   readonly role: Role;
   readonly term: number;
@@ -34,35 +43,42 @@
   readonly lastIndex: number;
   readonly snapshotIndex: number;
   readonly voters: readonly Member[];
-  /** Members that receive the log and do not count yet. */
+  /** Members that receive the log and have no vote yet. */
   readonly learners: readonly Member[];
-  /** The members that others told a process which is none; else empty. */
+  /**
+   * The members that other processes reported to a process that is not a member;
+   * empty at a member.
+   */
   readonly reportedMembers: readonly Member[];
-  /** Bytes sent to the other members since the start. */
+  /** Bytes sent to the other members since the process started. */
   readonly bytesOut: number;
   /** Size of the log on disk in bytes. */
   readonly logBytes: number;
 }
 
-/** The control group as one of its processes sees it. */
+/** One control process's interface to the control group. */
 export interface Consensus {
   /**
-   * Commits one entry; resolves with the machine's answer once it is synced on
-   * a majority and applied here. Fails with `not-leader` (not run) or
-   * `outcome-unknown` when leadership ended meanwhile.
+   * Commits one entry. Resolves with the state machine's result once the entry
+   * is synced on a majority and applied on this process. Fails with `not-leader`
+   * when the entry was not proposed, and with `outcome-unknown` when leadership
+   * ended before the result was known.
    */
   propose(entry: Uint8Array): Promise<Result<Uint8Array>>;
-  /** Resolves with an index at least as new as all that was accepted before. */
+  /**
+   * Resolves, once this process has applied it, with an index that covers every
+   * change accepted before the call.
+   */
   readBarrier(): Promise<Result<number>>;
   status(): Status;
-  /** Adds a member and removes another; one replacement at a time. */
+  /** Adds a member and removes another; only one replacement may be running. */
   replace(leaving: string, joining: Member): Promise<Result<void>>;
   /** Calls `observe` after each applied entry or restored snapshot. */
   onApplied(observe: (index: number) => void): void;
-  /** Calls `observe` after each change of role or leader. */
+  /** Calls `observe` after each change of this process's role or the leader. */
   onRoleChange(observe: (status: Status) => void): void;
-  /** Calls `observe` when the members or what they tell of themselves change. */
+  /** Calls `observe` when the members or their announced addresses change. */
   onMembersChange(observe: () => void): void;
-  /** Ends the member; a leader first lets another one lead. */
+  /** Stops this member; a leader first hands leadership over. */
   stop(): Promise<void>;
 }
--- a/src/consensus/core-state.ts
+++ b/src/consensus/core-state.ts
@@ -15,33 +15,33 @@
 import type {RoleMachine} from './role.js';
 
 /**
- * Protections that a test may take out to show the failure that each prevents.
- * A process runs with all of them.
+ * Protections that a test may switch off to show the failure that each of them
+ * prevents. A process runs with all of them.
  */
 export interface Safeguards {
-  /** Ask whether a vote would be given before the term rises. */
+  /** A candidate asks for pre-votes before it raises its term. */
   readonly preVote: boolean;
-  /** A leader that hears no majority steps down. */
+  /** A leader that receives no answers of a majority steps down. */
   readonly checkQuorum: boolean;
   /** Votes and acknowledgements count only from the recorded data folder. */
   readonly storageIdentity: boolean;
-  /** A member acknowledges and counts only what its disk has synced. */
+  /** A member acknowledges and counts only entries that its disk has synced. */
   readonly syncBeforeAnswer: boolean;
-  /** A read barrier waits for a quorum round. */
+  /** A read barrier waits until a majority has answered a heartbeat round. */
   readonly quorumRead: boolean;
-  /** A leader commits by counting copies of entries of its own term only. */
+  /** A leader counts copies only of entries of its own term to commit. */
   readonly ownTermCommit: boolean;
-  /** Members change only after an entry of the leader's own term is committed. */
+  /** Membership changes only after an entry of the leader's own term is committed. */
   readonly ownTermChange: boolean;
-  /** No message leaves before the vote decided ahead of it is durable. */
+  /** Messages are held back until a vote that was decided before them is durable. */
   readonly syncVote: boolean;
-  /** Followers get a bounded number of unacknowledged batches. */
+  /** The number of unacknowledged batches per follower is bounded. */
   readonly flowControl: boolean;
-  /** A failed sync stops the member for good. */
+  /** A failed sync stops the member; it does not retry. */
   readonly stopOnSyncFailure: boolean;
 }
 
-/** All protections on. */
+/** All safeguards switched on. */
 export const allSafeguards: Safeguards = {
   preVote: true,
   checkQuorum: true,
@@ -55,30 +55,33 @@
   stopOnSyncFailure: true,
 };
 
-/** What the decisions ask of the driver, to be done in this order. */
+/** An instruction of the core to its driver, to be performed in the given order. */
 export type Action =
   | {readonly kind: 'send'; readonly to: string; readonly message: Message}
-  /** To be durable before any later send leaves. */
+  /** The vote must be durable before any later message is sent. */
   | {readonly kind: 'save-vote'; readonly vote: Vote}
-  /** To be synced, then reported with `synced`. */
+  /** The entries must be synced and then reported by a `synced` event. */
   | {
       readonly kind: 'append';
       readonly entries: readonly Entry[];
       readonly epoch: number;
     }
   | {readonly kind: 'cut'; readonly index: number}
-  /** Restore the state machine, make it durable, report with `synced`. */
+  /**
+   * The snapshot must be restored into the state machine, made durable, and then
+   * reported by a `synced` event.
+   */
   | {
       readonly kind: 'install';
       readonly snapshot: Snapshot;
       readonly epoch: number;
       readonly leader: string;
     }
-  /** Entries up to here may be applied. */
+  /** Entries up to `index` may be applied. */
   | {readonly kind: 'commit'; readonly index: number}
   | {readonly kind: 'proposed'; readonly id: number; readonly index: number}
-  /** Leadership ended: the fate of open proposals is unknown. */
-  | {readonly kind: 'lead-lost'}
+  /** Leadership ended, so the outcome of pending proposals is unknown. */
+  | {readonly kind: 'leadership-lost'}
   | {
       readonly kind: 'barrier';
       readonly id: number;
@@ -87,58 +90,61 @@
   /** The role or the leader changed. */
   | {readonly kind: 'role'};
 
-/** What the decisions need to know from the start. */
+/** Options of createCore; times in milliseconds. */
 export interface CoreOptions {
   readonly self: Peer;
   readonly random: Random;
-  /** Milliseconds between a leader's heartbeats. */
+  /** Interval of a leader's heartbeats. */
   readonly heartbeat: number;
-  /** Least milliseconds without a leader before an election. */
+  /** Minimum time without a leader before an election. */
   readonly electionTimeout: number;
-  /** Milliseconds of silence after which a voter is replaced; absent for never. */
+  /** Time without an answer after which a voter is replaced; absent for never. */
   readonly replaceLostAfter?: number | undefined;
-  /** Voters that may be lost at once; absent to keep the number of founders. */
+  /**
+   * Number of voters that may be lost at once; absent to keep the number of
+   * founders.
+   */
   readonly faultTolerance?: number | undefined;
   readonly safeguards: Safeguards;
 }
 
-/** What was found on disk. */
+/** The state that was read from disk at the start. */
 export interface StoredState {
   readonly vote: Vote;
   readonly snapshot: Snapshot;
   readonly baseIndex: number;
   readonly baseTerm: number;
   readonly entries: readonly Entry[];
-  /** False for a new folder that belongs to no group yet. */
+  /** Whether the data folder belongs to a group; false for a new one. */
   readonly formed: boolean;
 }
 
-/** The state that the decisions share. */
+/** The state that the parts of the core share. */
 export interface CoreState {
   readonly options: CoreOptions;
   readonly role: RoleMachine;
   readonly log: MemoryLog;
   readonly actions: Action[];
   formed: boolean;
-  /** Milliseconds; set at the start of each event. */
+  /** The time in milliseconds, set at the start of each event. */
   now: number;
   term: number;
   votedFor: string | undefined;
-  /** Name of the leader of `term`, when known. */
+  /** Name of the leader of `term`, if known. */
   leader: string | undefined;
-  /** When the leader was last heard. */
+  /** When the last message of the leader was received. */
   leaderContactAt: number;
   snapshot: Snapshot;
   commitIndex: number;
-  /** Own entries up to here are durable. */
+  /** This member's entries up to this index are durable. */
   syncedIndex: number;
-  /** Own entries up to here equal those of the leader of `term`. */
+  /** This member's entries up to this index equal those of the leader of `term`. */
   verifiedIndex: number;
-  /** Latest quorum round heard from the leader of `term`. */
+  /** Latest quorum round received from the leader of `term`. */
   round: number;
 }
 
-/** Creates the state from what was found on disk. */
+/** Creates the state from that read from disk. */
 export function createCoreState(
   options: CoreOptions,
   stored: StoredState,
@@ -173,12 +179,12 @@
   state.actions.push({kind: 'send', to, message});
 }
 
-/** The role at the moment. */
+/** The present role of this member. */
 export function roleOf(state: CoreState): Role {
   return state.role.current;
 }
 
-/** Enters a newer term, in which it has not voted and knows no leader. */
+/** Enters a newer term, in which this member has not voted and knows no leader. */
 export function adoptTerm(state: CoreState, term: number): void {
   if (term <= state.term) return;
   state.term = term;
@@ -187,16 +193,16 @@
   state.verifiedIndex = 0;
   state.round = 0;
   saveVote(state);
-  state.role.send('followed');
+  state.role.send('stepped-down');
 }
 
-/** Makes term and vote durable before anything else is sent. */
+/** Has term and vote made durable before any later message is sent. */
 export function saveVote(state: CoreState): void {
   const vote = {term: state.term, votedFor: state.votedFor};
   state.actions.push({kind: 'save-vote', vote});
 }
 
-/** Appends to the own log and has it synced. */
+/** Appends to this member's log and has the entries synced. */
 export function appendEntries(state: CoreState, entries: Entry[]): void {
   state.log.append(entries);
   state.actions.push({kind: 'append', entries, epoch: state.log.epoch});
@@ -212,18 +218,18 @@
   state.actions.push({kind: 'commit', index});
 }
 
-/** Gives up leadership or candidacy within the same term. */
+/** Ends leadership or candidacy without a change of the term. */
 export function stepDown(state: CoreState): void {
   state.leader = undefined;
-  state.role.send('followed');
+  state.role.send('stepped-down');
 }
 
-/** The newest membership known, committed or not. */
+/** The newest membership in the log, whether committed or not. */
 export function membershipOf(state: CoreState): Membership {
   return state.log.membership;
 }
 
-/** The voter behind a message, or undefined when it does not count. */
+/** The voter that sent a message, or undefined when the sender is not a voter. */
 export function findVoter(state: CoreState, peer: Peer): Voter | undefined {
   return membershipOf(state).voters.find(voter =>
     isSamePeer(state, voter, peer),
@@ -231,22 +237,26 @@
 }
 
 /**
- * Whether a message comes from the very data folder that was recorded. An
- * emptied disk behind a known name has forgotten its votes and entries; were it
- * counted, a majority could form that never saw an accepted change.
+ * Whether a message comes from the data folder that was recorded for its sender.
+ * A known member whose disk was emptied has lost its votes and entries. If it
+ * were counted, a majority could form that lacks an accepted change.
  */
-export function isSamePeer(state: CoreState, known: Peer, peer: Peer): boolean {
-  if (known.name !== peer.name) return false;
+export function isSamePeer(
+  state: CoreState,
+  recorded: Peer,
+  peer: Peer,
+): boolean {
+  if (recorded.name !== peer.name) return false;
   if (!state.options.safeguards.storageIdentity) return true;
-  return known.storage === peer.storage;
+  return recorded.storage === peer.storage;
 }
 
-/** Whether the newest membership counts this process as a voter. */
+/** Whether the newest membership lists this process as a voter. */
 export function isVoter(state: CoreState): boolean {
   return findVoter(state, state.options.self) !== undefined;
 }
 
-/** The least number of voters that is more than half of them. */
+/** The smallest number of voters that is more than half of them. */
 export function majorityOf(state: CoreState): number {
   return Math.floor(membershipOf(state).voters.length / 2) + 1;
 }
--- a/src/consensus/core.ts
+++ b/src/consensus/core.ts
@@ -19,53 +19,53 @@
 import type {ReplaceAnswer} from './membership.js';
 import {createReplication} from './replication.js';
 
-/** One change to be kept. */
+/** One change to be committed. */
 export interface Proposal {
   readonly id: number;
   readonly data: Uint8Array;
 }
 
-/** What happens to a member. */
+/** An input of the core. */
 export type Event =
   | {readonly kind: 'tick'}
   | {readonly kind: 'receive'; readonly from: Peer; readonly message: Message}
-  /** A member told which data folder it runs on. */
-  | {readonly kind: 'met'; readonly peer: Voter}
-  /** The link from a member ended. */
-  | {readonly kind: 'parted'; readonly name: string}
+  /** A process connected and reported the data folder that it runs on. */
+  | {readonly kind: 'peer-connected'; readonly peer: Voter}
+  /** The link from a process was closed. */
+  | {readonly kind: 'peer-disconnected'; readonly name: string}
   | {readonly kind: 'propose'; readonly proposals: readonly Proposal[]}
   | {readonly kind: 'barrier'; readonly id: number}
-  /** This process will stop: another member should lead. */
+  /** This process is about to stop, so another member should lead. */
   | {readonly kind: 'hand-over'}
-  /** The disk holds all entries up to `index` of that epoch of the log. */
+  /** All entries up to `index`, written in this epoch of the log, are durable. */
   | {readonly kind: 'synced'; readonly index: number; readonly epoch: number}
-  /** A snapshot of the own state is durable; the log may shrink behind it. */
+  /** A snapshot of this member's state is durable; the log may be compacted. */
   | {
       readonly kind: 'snapshot-saved';
       readonly snapshot: Snapshot;
       readonly keepAfter: number;
     }
-  /** The founders are known: the group exists. */
+  /** All founders are known, so the group is formed. */
   | {readonly kind: 'formed'; readonly snapshot: Snapshot};
 
 /**
- * The decisions of one member: a plain synchronous part that takes an event
- * and returns what is to be done, without touching disk, network or clock.
+ * The consensus algorithm of one member. It is synchronous: it takes an event and
+ * returns the actions to perform, and uses no disk, network or clock itself.
  */
 export interface Core {
   readonly state: Readonly<CoreState>;
   handle(event: Event, now: number): Action[];
-  /** Begins to replace a member; the answer says why not. */
+  /** Begins to replace a member, or answers why it can't. */
   replace(leaving: string, joining: Voter, now: number): ReplaceOutcome;
 }
 
-/** The answer to a replacement and what is to be done for it. */
+/** The answer to a replacement and the actions to perform for it. */
 export interface ReplaceOutcome {
   readonly answer: ReplaceAnswer;
   readonly actions: Action[];
 }
 
-/** Creates the decisions of a member from what was found on its disk. */
+/** Creates the core of a member from the state read from its disk. */
 export function createCore(options: CoreOptions, stored: StoredState): Core {
   const state = createCoreState(options, stored);
   const replication = createReplication(state);
@@ -76,14 +76,14 @@
 
   function propose(proposals: readonly Proposal[]): void {
     const first = state.log.lastIndex + 1;
-    const entries = proposals.map(({data}, at): Entry => ({
+    const entries = proposals.map(({data}, offset): Entry => ({
       kind: 'command',
-      index: first + at,
+      index: first + offset,
       term: state.term,
       data,
     }));
-    proposals.forEach(({id}, at) => {
-      state.actions.push({kind: 'proposed', id, index: first + at});
+    proposals.forEach(({id}, offset) => {
+      state.actions.push({kind: 'proposed', id, index: first + offset});
     });
     replication.append(entries);
   }
@@ -112,7 +112,8 @@
   }
 
   function onSynced(index: number, epoch: number): void {
-    // Written before a cut: what stands there now may be another entry.
+    // The entry was written before the log was truncated; another entry may have
+    // its index now.
     if (epoch !== state.log.epoch) return;
     state.syncedIndex = Math.max(state.syncedIndex, index);
     if (roleOf(state) === 'leader') replication.onSynced();
@@ -134,9 +135,9 @@
         return;
       case 'receive':
         return receive(event.from, event.message);
-      case 'met':
+      case 'peer-connected':
         return changes.onPeerConnected(event.peer);
-      case 'parted':
+      case 'peer-disconnected':
         return changes.onPeerDisconnected(event.name);
       case 'propose':
         return propose(event.proposals);
@@ -156,14 +157,14 @@
     }
   }
 
-  /** Follows the membership: only who is counted may stand or lead. */
+  /** Updates the role from the membership: only a voter may be candidate or leader. */
   function refreshRole(): void {
     const isCommitted = state.log.membershipIndex <= state.commitIndex;
-    if (isVoter(state)) state.role.send('counted');
-    else if (roleOf(state) !== 'leader') state.role.send('uncounted');
+    if (isVoter(state)) state.role.send('voter-added');
+    else if (roleOf(state) !== 'leader') state.role.send('voter-removed');
     else if (isCommitted) {
       stepDown(state);
-      state.role.send('uncounted');
+      state.role.send('voter-removed');
     }
   }
 
@@ -173,10 +174,10 @@
     const {leader, term} = state;
     task();
     refreshRole();
-    const hasLead = roleOf(state) === 'leader' && state.term === term;
-    if (role === 'leader' && !hasLead) {
+    const isStillLeader = roleOf(state) === 'leader' && state.term === term;
+    if (role === 'leader' && !isStillLeader) {
       barriers.abandon();
-      state.actions.push({kind: 'lead-lost'});
+      state.actions.push({kind: 'leadership-lost'});
     }
     barriers.advance();
     if (roleOf(state) !== role || state.leader !== leader) {
--- a/src/consensus/create-consensus.ts
+++ b/src/consensus/create-consensus.ts
@@ -21,7 +21,7 @@
 export type {ConsensusOptions} from './options.js';
 
 /** Election timeouts after which a read barrier is given up. */
-const readTimeouts = 6;
+const readTimeoutFactor = 6;
 
 /**
  * Starts a member of the control group: opens its folder, listens and joins in.
@@ -35,20 +35,21 @@
   const storage = await openStorage(options.disk, self.name).catch(error => {
     throw toFailure(error);
   });
-  const me: Voter = {...self, storage: storage.identity.storage};
-  const core = createCore({...options, self: me}, storage.stored);
+  const selfVoter: Voter = {...self, storage: storage.identity.storage};
+  const core = createCore({...options, self: selfVoter}, storage.stored);
   const {state} = core;
   const proposals = createProposals();
   const roleObservers: Array<(status: Status) => void> = [];
   const memberObservers: Array<() => void> = [];
-  const due: Action[] = [];
+  const pendingActions: Action[] = [];
   let isPerforming = false;
   let stopped: Result<never> | undefined;
   /** Set while a leader that stops waits for another to lead. */
-  let retired: (() => void) | undefined;
-  let followed = state.log.membership;
+  let endRetirement: (() => void) | undefined;
+  let membership = state.log.membership;
 
-  const mustWait = () => options.safeguards.syncVote && writer.hasPendingVote;
+  const mustQueueSends = () =>
+    options.safeguards.syncVote && writer.hasPendingVote;
 
   const isLeader = () => state.role.current === 'leader';
 
@@ -62,7 +63,7 @@
       },
       onInstalled: () => links.announce(),
       send: (to, message) => links.send(to, message),
-      onFailure: fail,
+      onFailure: failStop,
     },
     {
       groupCommit: options.groupCommit,
@@ -79,7 +80,7 @@
   const reads = createPendingReads({
     timers,
     resendAfter: electionTimeout,
-    timeout: electionTimeout * readTimeouts,
+    timeout: electionTimeout * readTimeoutFactor,
     request: id => handle({kind: 'barrier', id}),
     appliedIndex: () => applier.index,
   });
@@ -90,7 +91,7 @@
   if (storage.stored.formed) applier.restore(storage.stored.snapshot);
   const links = await createGroupLinks({
     options,
-    selfVoter: me,
+    selfVoter,
     log,
     identity: () => storage.identity,
     handle,
@@ -98,19 +99,19 @@
     write: job => writer.push(job),
   });
   const status = createStatusView({
-    selfVoter: me,
+    selfVoter,
     state,
     links,
     logBytes: () => storage.logBytes,
   });
-  links.followMembership(followed, state.log.membershipIndex);
+  links.followMembership(membership, state.log.membershipIndex);
   links.formSingleMemberGroup();
   const ticking = timers.every(Math.max(1, heartbeat / 2), tick);
 
   function handle(event: Event): void {
     if (stopped !== undefined) return;
     perform(core.handle(event, timers.now()));
-    if (event.kind === 'met') observeMembers();
+    if (event.kind === 'peer-connected') observeMembers();
   }
 
   /**
@@ -118,20 +119,25 @@
    * the next event at once; its actions wait until the earlier ones are done.
    */
   function perform(actions: readonly Action[]): void {
-    due.push(...actions);
+    pendingActions.push(...actions);
     if (isPerforming) return;
     isPerforming = true;
-    for (let action = due.shift(); action; action = due.shift()) act(action);
+    for (
+      let action = pendingActions.shift();
+      action;
+      action = pendingActions.shift()
+    )
+      performAction(action);
     isPerforming = false;
-    if (state.log.membership === followed) return;
-    followed = state.log.membership;
-    links.followMembership(followed, state.log.membershipIndex);
+    if (state.log.membership === membership) return;
+    membership = state.log.membership;
+    links.followMembership(membership, state.log.membershipIndex);
     logMembers();
     observeMembers();
   }
 
   function logMembers(): void {
-    const {voters, learners, replacement} = followed;
+    const {voters, learners, replacement} = membership;
     log.info('members', {
       voters: namesOf(voters),
       learners: namesOf(learners),
@@ -147,11 +153,11 @@
     for (const observe of memberObservers) observe();
   }
 
-  function act(action: Action): void {
+  function performAction(action: Action): void {
     switch (action.kind) {
       case 'send':
         // A vote must be durable before anybody can count on it.
-        if (mustWait()) writer.push(action);
+        if (mustQueueSends()) writer.push(action);
         else links.send(action.to, action.message);
         return;
       case 'save-vote':
@@ -168,7 +174,7 @@
         return replacements.check();
       case 'proposed':
         return proposals.onProposed(action);
-      case 'lead-lost':
+      case 'leadership-lost':
         proposals.abandon();
         return replacements.check();
       case 'barrier':
@@ -187,22 +193,22 @@
       applier.apply(index);
     } catch (error) {
       if (!(error instanceof Failure)) throw error;
-      fail(error);
+      failStop(error);
     }
   }
 
   function observeRole(): void {
-    const view = status();
-    const {role, term, leader} = view;
+    const current = status();
+    const {role, term, leader} = current;
     log.info('role', {role, term, leader: leader ?? null});
-    for (const observe of roleObservers) observe(view);
-    if (!isLeader()) retired?.();
+    for (const observe of roleObservers) observe(current);
+    if (!isLeader()) endRetirement?.();
   }
 
   function tick(): void {
     handle({kind: 'tick'});
     reads.tick();
-    if (retired !== undefined && proposals.count === 0) {
+    if (endRetirement !== undefined && proposals.count === 0) {
       handle({kind: 'hand-over'});
     }
     // Between changes: lets a damaged last entry be told from a torn one.
@@ -233,7 +239,7 @@
       pendingBytesLimit: openBytesLimit,
     } = options;
     if (stopped !== undefined) return stopped;
-    if (!isLeader() || retired !== undefined) return notLeader();
+    if (!isLeader() || endRetirement !== undefined) return notLeader();
     if (data.length > entryLimit) {
       return failure(
         consensusCodes.entryTooLarge,
@@ -255,15 +261,15 @@
   ): Promise<Result<void>> {
     if (stopped !== undefined) return stopped;
     if (!isLeader()) return notLeader();
-    const met = links.find(joining.name);
-    if (met === undefined) {
+    const connected = links.find(joining.name);
+    if (connected === undefined) {
       return failure(
         consensusCodes.memberUnreachable,
         `${joining.name} has not called; start it with this group's members in its settings`,
       );
     }
     // The command gives its peer address; the rest it has told by itself.
-    const voter = {...met, ...joining};
+    const voter = {...connected, ...joining};
     const {answer, actions} = core.replace(leaving, voter, timers.now());
     perform(actions);
     if (answer === 'begun') return replacements.wait(leaving, joining.name);
@@ -280,12 +286,12 @@
     if (stopped !== undefined || !isLeader()) return;
     if (state.log.membership.voters.length === 1) return;
     await new Promise<void>(resolve => {
-      retired = resolve;
+      endRetirement = resolve;
       timers.after(electionTimeout, resolve);
     });
   }
 
-  function fail(problem: Failure): void {
+  function failStop(problem: Failure): void {
     log.error(problem.message, {code: problem.code.number});
     void halt(failure(problem.code, problem.message));
     options.onFailure?.(problem);
--- a/src/consensus/data-folder.ts
+++ b/src/consensus/data-folder.ts
@@ -6,13 +6,13 @@
 import {consensusCodes} from './codes.js';
 import type {Snapshot, Vote, Voter} from './messages.js';
 
-/** What a data folder knows of itself; rewritten with each vote. */
+/** The content of a data folder's identity file, which is rewritten with each vote. */
 export interface Identity extends Vote {
-  /** Random, made with the folder. */
+  /** Random identifier created with the data folder. */
   readonly storage: string;
-  /** Name of the member that the folder belongs to. */
+  /** Name of the member that owns the data folder. */
   readonly owner: string;
-  /** The group it belongs to; absent before the group is formed. */
+  /** Identifier of the group; absent before the group is formed. */
   readonly group?: string;
   readonly founders?: readonly Voter[];
 }
@@ -21,7 +21,7 @@
 const snapshotFile = 'snapshot';
 const packr = new Packr({useRecords: false});
 
-/** Reads the folder's identity; undefined for an empty folder. */
+/** Reads the data folder's identity; undefined when the folder is empty. */
 export async function readIdentity(disk: Disk): Promise<Identity | undefined> {
   const content = await disk.read(identityFile);
   const hasOthers = (await disk.list()).includes('log');
@@ -29,7 +29,7 @@
   return decode<Identity>(content, consensusCodes.stateDamaged, identityFile);
 }
 
-/** Replaces the folder's identity durably. */
+/** Replaces the data folder's identity durably. */
 export async function writeIdentity(
   disk: Disk,
   identity: Identity,
@@ -48,8 +48,8 @@
 }
 
 /**
- * Replaces the snapshot durably: an interrupted write leaves the old one, and
- * the log behind it is dropped only after this has returned.
+ * Replaces the snapshot durably. An interrupted write leaves the old snapshot in
+ * place, and the log is compacted only after this function has returned.
  */
 export async function writeSnapshot(
   disk: Disk,
--- a/src/consensus/follower.ts
+++ b/src/consensus/follower.ts
@@ -9,16 +9,16 @@
 import type {CoreState} from './core-state.js';
 import type {Election} from './election.js';
 
-/** The follower's side of replication; learners do the same. */
+/** The receiving side of replication, in followers and learners. */
 export interface Follower {
   onAppend(from: Peer, message: AppendRequest): void;
   onSnapshotPart(from: Peer, message: SnapshotPart): void;
-  /** Acknowledges what was synced since. */
+  /** Acknowledges the entries that were synced since the last answer. */
   onSynced(): void;
 }
 
-/** A snapshot of which parts are still missing. */
-interface Assembly {
+/** A snapshot that is being received in parts. */
+interface SnapshotAssembly {
   readonly index: number;
   readonly term: number;
   readonly membership: Membership;
@@ -26,9 +26,9 @@
   offset: number;
 }
 
-/** Creates the follower's part. */
+/** Creates the receiving side of replication. */
 export function createFollower(state: CoreState, election: Election): Follower {
-  let assembly: Assembly | undefined;
+  let assembly: SnapshotAssembly | undefined;
 
   function acknowledge(to: string): void {
     send(state, to, {
@@ -41,19 +41,22 @@
     });
   }
 
-  function refuse(to: string, message: AppendRequest, hint: number): void {
+  function refuse(to: string, message: AppendRequest, nextTry: number): void {
     send(state, to, {
       kind: 'appended',
       term: state.term,
       accepted: false,
-      matchIndex: hint,
+      matchIndex: nextTry,
       previousIndex: message.previousIndex,
       round: state.round,
     });
   }
 
-  /** Where the leader should try next: before the whole term that differs. */
-  function hintFor(message: AppendRequest): number {
+  /**
+   * The index after which the leader should try next. It skips all entries of the
+   * term that conflicts.
+   */
+  function nextTryFor(message: AppendRequest): number {
     if (message.previousIndex > state.log.lastIndex) return state.log.lastIndex;
     const term = state.log.termAt(message.previousIndex);
     let index = message.previousIndex;
@@ -63,14 +66,14 @@
     return index;
   }
 
-  function fits(message: AppendRequest): boolean {
+  function matchesPrevious(message: AppendRequest): boolean {
     if (message.previousIndex < state.log.baseIndex) return true;
     const term = state.log.termAt(message.previousIndex);
     return term !== undefined && term === message.previousTerm;
   }
 
-  /** Drops what contradicts the leader and keeps what is new. */
-  function take(entries: readonly Entry[]): boolean {
+  /** Truncates entries that conflict with the leader's and appends new ones. */
+  function appendNew(entries: readonly Entry[]): boolean {
     const added: Entry[] = [];
     for (const entry of entries) {
       if (entry.index <= state.log.baseIndex) continue;
@@ -94,9 +97,9 @@
     state.actions.push({kind: 'cut', index});
   }
 
-  function install(from: Peer, whole: Assembly): void {
-    const {index, term, membership} = whole;
-    const data = Buffer.concat(whole.parts);
+  function install(from: Peer, complete: SnapshotAssembly): void {
+    const {index, term, membership} = complete;
+    const data = Buffer.concat(complete.parts);
     assembly = undefined;
     const snapshot = {index, term, membership, data};
     state.formed = true;
@@ -109,7 +112,7 @@
     state.actions.push({kind: 'install', snapshot, epoch, leader: from.name});
   }
 
-  function assemblyFor(message: SnapshotPart): Assembly {
+  function findAssembly(message: SnapshotPart): SnapshotAssembly {
     const isSame =
       assembly?.index === message.index &&
       assembly.term === message.snapshotTerm;
@@ -135,11 +138,11 @@
         refuse(from.name, message, -1);
         return;
       }
-      if (!fits(message)) {
-        refuse(from.name, message, hintFor(message));
+      if (!matchesPrevious(message)) {
+        refuse(from.name, message, nextTryFor(message));
         return;
       }
-      const isNew = take(message.entries);
+      const isNew = appendNew(message.entries);
       const last = message.previousIndex + message.entries.length;
       state.verifiedIndex = Math.max(state.verifiedIndex, last);
       commitTo(state, Math.min(message.commitIndex, state.verifiedIndex));
@@ -155,7 +158,7 @@
         acknowledge(from.name);
         return;
       }
-      const current = assemblyFor(message);
+      const current = findAssembly(message);
       assembly = current;
       if (message.offset === current.offset) {
         current.parts.push(message.data);
--- a/src/consensus/memory-log.ts
+++ b/src/consensus/memory-log.ts
@@ -1,47 +1,50 @@
 import type {Entry, Membership, Snapshot} from './messages.js';
 
-/** The part of the log kept in memory: everything after its base. */
+/** The part of the log that is kept in memory: all entries after its base. */
 export interface MemoryLog {
-  /** Index before the first entry kept. */
+  /** Index of the entry before the first one that is kept. */
   readonly baseIndex: number;
   readonly lastIndex: number;
   readonly lastTerm: number;
-  /** Rises with each cut, so that writes begun before it are told apart. */
+  /** Raised with each truncation, so that writes begun before it can be ignored. */
   readonly epoch: number;
-  /** The newest membership in the log, committed or not. */
+  /** The newest membership in the log, whether committed or not. */
   readonly membership: Membership;
   /** Index of the entry that set `membership`. */
   readonly membershipIndex: number;
   /** The membership in force after the entry at `index`. */
   membershipAt(index: number): Membership;
-  /** The term at an index, or undefined when the log does not reach it. */
+  /** The term at an index, or undefined when the log does not hold that index. */
   termAt(index: number): number | undefined;
   entry(index: number): Entry | undefined;
-  /** Entries after `index`, at most `count` of them and about `bytes`. */
+  /**
+   * Entries after `index`: at most `count` of them, and at least one but otherwise
+   * no more than about `bytes`.
+   */
   after(index: number, count: number, bytes: number): Entry[];
   append(entries: readonly Entry[]): void;
-  /** Drops `index` and everything after it. */
+  /** Removes the entry at `index` and all later ones. */
   cut(index: number): void;
-  /** Forgets entries up to `index`. */
+  /** Removes entries up to `index`. */
   compact(index: number): void;
-  /** Starts again after a snapshot. */
+  /** Replaces the log by an empty one that continues after a snapshot. */
   reset(snapshot: Snapshot): void;
 }
 
-interface Change {
+interface MembershipChange {
   readonly index: number;
   readonly membership: Membership;
 }
 
-const overheadBytes = 32;
+const entryOverheadBytes = 32;
 
-/** Rough size of an entry on the wire, in bytes. */
+/** Estimated size of an entry on the wire, in bytes. */
 export function sizeOf(entry: Entry): number {
-  if (entry.kind === 'command') return overheadBytes + entry.data.length;
-  return overheadBytes;
+  if (entry.kind === 'command') return entryOverheadBytes + entry.data.length;
+  return entryOverheadBytes;
 }
 
-/** Creates the log after `snapshot`, whose base may lie before it. */
+/** Creates a log; its base may lie before the last entry of `snapshot`. */
 export function createMemoryLog(
   snapshot: Snapshot,
   baseIndex: number = snapshot.index,
@@ -49,21 +52,21 @@
 ): MemoryLog {
   let base = {index: baseIndex, term: baseTerm};
   let entries: Entry[] = [];
-  let changes: Change[] = [
+  let changes: MembershipChange[] = [
     {index: snapshot.index, membership: snapshot.membership},
   ];
   let epoch = 0;
 
-  const at = (index: number) => entries[index - base.index - 1];
+  const entryAt = (index: number) => entries[index - base.index - 1];
   const lastIndex = () => base.index + entries.length;
   const lastChange = () => changes[changes.length - 1]!;
 
   function termAt(index: number): number | undefined {
     if (index === base.index) return base.term;
-    return at(index)?.term;
+    return entryAt(index)?.term;
   }
 
-  function note(entry: Entry): void {
+  function recordMembership(entry: Entry): void {
     if (entry.kind !== 'membership') return;
     if (entry.index <= lastChange().index) return;
     changes.push({index: entry.index, membership: entry.membership});
@@ -93,11 +96,15 @@
       return (before.at(-1) ?? changes[0]!).membership;
     },
     termAt,
-    entry: at,
+    entry: entryAt,
     after(index, count, bytes) {
       const found: Entry[] = [];
       let size = 0;
-      for (let next = at(index + 1); next; next = at(next.index + 1)) {
+      for (
+        let next = entryAt(index + 1);
+        next;
+        next = entryAt(next.index + 1)
+      ) {
         size += sizeOf(next);
         if (found.length > 0 && size > bytes) break;
         found.push(next);
@@ -108,10 +115,12 @@
     append(added) {
       for (const entry of added) {
         if (entry.index !== lastIndex() + 1) {
-          throw new Error(`entry ${entry.index} after ${lastIndex()}`);
+          throw new Error(
+            `entry ${entry.index} does not follow entry ${lastIndex()}`,
+          );
         }
         entries.push(entry);
-        note(entry);
+        recordMembership(entry);
       }
     },
     cut(index) {
--- a/src/consensus/messages.ts
+++ b/src/consensus/messages.ts
@@ -1,27 +1,30 @@
 import type {Member} from './consensus.js';
 
-/** What the members of the control group store and send to each other. */
+/** The messages and stored records of the control group. */
 
 /** A member with the identity of its data folder. */
 export interface Voter extends Member {
-  /** Random, made with the folder: an emptied or swapped disk has another. */
+  /**
+   * Random identifier created with the data folder. A disk that was emptied or
+   * exchanged has a different one.
+   */
   readonly storage: string;
 }
 
-/** A replacement in progress; kept in the log so that a new leader goes on. */
+/** A replacement in progress. It is in the log so that a new leader continues it. */
 export interface Replacement {
   readonly leaving: string;
   readonly joining: string;
 }
 
-/** Who counts for majorities and who only receives the log. */
+/** The members that count for majorities and those that only receive the log. */
 export interface Membership {
   readonly voters: readonly Voter[];
   readonly learners: readonly Voter[];
   readonly replacement?: Replacement;
 }
 
-/** One log entry; index and term together name it once and for all. */
+/** One log entry; index and term together identify it uniquely. */
 export type Entry =
   | {
       readonly kind: 'command';
@@ -37,72 +40,73 @@
       readonly membership: Membership;
     };
 
-/** The state after all entries up to `index`, in place of these entries. */
+/** The state after all entries up to `index`; it replaces these entries. */
 export interface Snapshot {
   readonly index: number;
   readonly term: number;
   readonly membership: Membership;
-  /** The state machine's bytes; empty at index 0. */
+  /** The serialized state machine; empty at index 0. */
   readonly data: Uint8Array;
 }
 
-/** What the storage of a member must never forget. */
+/** The current term and vote, which must be durable before any answer relies on them. */
 export interface Vote {
   readonly term: number;
   /** Storage identity of the candidate voted for in `term`. */
   readonly votedFor: string | undefined;
 }
 
-/** Who sent a message: the name and the data folder behind it. */
+/** The sender of a message, identified by its name and its data folder. */
 export interface Peer {
   readonly name: string;
   readonly storage: string;
 }
 
 /**
- * Rises with each change of these messages, or of the entries that they carry,
- * that older code misreads: it would answer an entry that it can't read as
- * invalid, and hold another state than the others from there on. Since 2 entries
- * are packed and hold differences of texts.
+ * Version of these messages and of the entries that they carry. It is raised
+ * with each change that older code would misread: older code would reject an
+ * entry that it can't decode as invalid, and its state would differ from the
+ * others' from then on. From version 2 on, entries are packed and hold
+ * differences of texts.
  */
 export const protocolVersion = 2;
 
-/** The members of the group, as they are from one entry of its log on. */
+/** The members of the group as of the log entry at `index`. */
 export interface MemberList {
   readonly index: number;
   readonly members: readonly Member[];
 }
 
-/** The first message on each link, sent again when the group is formed. */
+/** The first message on each link; it is sent again when the group is formed. */
 export interface Hello {
   readonly kind: 'hello';
   /** The sender's `protocolVersion`. */
   readonly protocol: number;
   readonly member: Member;
   readonly storage: string;
-  /** Identity of the group; absent while the folder belongs to none. */
+  /** Identifier of the group; absent while the data folder belongs to none. */
   readonly group?: string;
   /** The first voters of the group; absent together with `group`. */
   readonly founders?: readonly Voter[];
-  /** The newest members that the sender knows of; absent while it knows none. */
+  /** The newest member list that the sender knows; absent while it knows none. */
   readonly members?: MemberList;
 }
 
-/** Asks the other end of a link for a sign of life; it comes back as it is. */
+/** Checks that the other end of a link is alive; the receiver returns it unchanged. */
 export interface Ping {
   readonly kind: 'ping';
 }
 
-/** Asks for a vote, or with `trial` whether a vote would be given. */
+/** Asks for a vote, or with `trial` for a pre-vote that changes no state. */
 export interface VoteRequest {
   readonly kind: 'vote-request';
   readonly term: number;
   readonly trial: boolean;
   readonly lastIndex: number;
   readonly lastTerm: number;
-  /** The data folder that the candidate counts as a voter. */
+  /** The receiver's storage identity in the candidate's membership. */
   readonly voter: string;
-  /** The leader itself asked the candidate to take over. */
+  /** Whether the leader itself asked the candidate to take over. */
   readonly isHandover: boolean;
 }
 
@@ -114,7 +118,7 @@
   readonly granted: boolean;
 }
 
-/** Entries for a follower; without entries it is a heartbeat. */
+/** Log entries for a follower; without entries it is a heartbeat. */
 export interface AppendRequest {
   readonly kind: 'append';
   readonly term: number;
@@ -126,19 +130,22 @@
   readonly round: number;
 }
 
-/** Answers an append. */
+/** Answers an append request. */
 export interface AppendAnswer {
   readonly kind: 'appended';
   readonly term: number;
   readonly accepted: boolean;
-  /** Accepted: synced and equal to the leader's log up to here. Else: try from here. */
+  /**
+   * If accepted, the index up to which the log is synced and equal to the
+   * leader's; otherwise the index after which the leader should try next.
+   */
   readonly matchIndex: number;
-  /** Refused: the entry that did not match. */
+  /** If refused, the `previousIndex` of the request that did not match. */
   readonly previousIndex: number;
   readonly round: number;
 }
 
-/** One part of a snapshot for a follower that the log no longer reaches. */
+/** One part of a snapshot, for a follower whose next entries were compacted away. */
 export interface SnapshotPart {
   readonly kind: 'snapshot-part';
   readonly term: number;
@@ -151,7 +158,7 @@
   readonly round: number;
 }
 
-/** Tells the leader how much of a snapshot is here. */
+/** Reports to the leader how many bytes of a snapshot the follower has received. */
 export interface SnapshotPartAnswer {
   readonly kind: 'snapshot-taken';
   readonly term: number;
@@ -160,26 +167,26 @@
   readonly round: number;
 }
 
-/** A leader that stops asks a voter that holds its whole log to lead. */
+/** Sent by a leader that stops to a voter whose log is complete, which is to lead. */
 export interface TakeOverRequest {
   readonly kind: 'take-over';
   readonly term: number;
 }
 
-/** A follower asks the leader for a read barrier. */
+/** A follower's request to the leader for a read barrier. */
 export interface BarrierRequest {
   readonly kind: 'barrier-request';
   readonly id: number;
 }
 
-/** Answers a barrier request; without an index there was none to give. */
+/** Answers a barrier request; without an index the barrier failed. */
 export interface BarrierAnswer {
   readonly kind: 'barrier-answer';
   readonly id: number;
   readonly index?: number;
 }
 
-/** What the decisions of the group exchange. */
+/** A message that is handled by the `Core` of a member. */
 export type Message =
   | VoteRequest
   | VoteAnswer
--- a/src/consensus/progress.ts
+++ b/src/consensus/progress.ts
@@ -1,36 +1,37 @@
 import type {Voter} from './messages.js';
 
 /**
- * How a follower is fed.
- * - `probe`: one append at a time until one fits its log.
- * - `stream`: batches ahead of the acknowledgements, within a window.
- * - `snapshot`: the log no longer reaches it; parts of a snapshot, one by one.
+ * How the leader replicates to a follower.
+ * - `probe`: one append request at a time until one matches the follower's log.
+ * - `stream`: batches are sent ahead of the acknowledgements, up to a limit.
+ * - `snapshot`: the entries that the follower needs are compacted away; parts of
+ *   a snapshot are sent one at a time.
  */
 export type ReplicationMode = 'probe' | 'stream' | 'snapshot';
 
-/** What the leader knows of one follower or learner. */
+/** The leader's replication state for one follower or learner. */
 export interface Progress {
   readonly peer: Voter;
   mode: ReplicationMode;
   /** Index of the next entry to send. */
   nextIndex: number;
-  /** Synced there and equal to the own log up to here. */
+  /** The follower's log is synced and equal to the leader's up to this index. */
   matchIndex: number;
-  /** Last index of each batch sent and not acknowledged. */
+  /** Last index of each batch that was sent and is not acknowledged. */
   pendingBatches: number[];
-  /** Bytes of the snapshot that are there. */
+  /** Bytes of the snapshot that the follower has received. */
   offset: number;
   /** Index of the snapshot being sent. */
   snapshotIndex: number;
-  /** When an answer last came. */
+  /** When the last answer was received. */
   contactAt: number;
-  /** When a probe or snapshot part left that has no answer yet. */
+  /** When the probe or snapshot part was sent whose answer is outstanding. */
   waitingSince: number | undefined;
-  /** Latest quorum round it answered. */
+  /** Latest quorum round that the follower answered. */
   answeredRound: number;
 }
 
-/** Creates what is known of a member at the start of a term. */
+/** Creates the replication state for a member at the start of a term. */
 export function createProgress(
   peer: Voter,
   lastIndex: number,
--- a/src/consensus/replication.ts
+++ b/src/consensus/replication.ts
@@ -20,55 +20,55 @@
 import {createProgress} from './progress.js';
 import type {Progress} from './progress.js';
 
-/** Most entries in one append. */
-const batchEntries = 256;
-/** About the most bytes in one append; one larger entry still goes alone. */
-const batchBytes = 128 * 1024;
-/** Most batches on their way to one follower without an acknowledgement. */
-const windowBatches = 8;
-/** Bytes of a snapshot in one message. */
-const partBytes = 128 * 1024;
+/** Maximum number of entries in one append request. */
+const maxBatchEntries = 256;
+/** Approximate maximum size of an append request; a larger entry is sent alone. */
+const maxBatchBytes = 128 * 1024;
+/** Maximum number of unacknowledged batches per follower. */
+const maxPendingBatches = 8;
+/** Size of one part of a snapshot in bytes. */
+const snapshotPartBytes = 128 * 1024;
 
-/** The leader's side of replication. */
+/** The sending side of replication, in the leader. */
 export interface Replication {
-  /** Begins a term as its leader. */
+  /** Starts a term as its leader. */
   startTerm(): void;
-  /** Index of the entry that began this term. */
+  /** Index of the first entry of this leader's term. */
   readonly termStartIndex: number;
   tick(): void;
   append(entries: Entry[]): void;
-  /** Takes note that own entries were synced. */
+  /** Called when entries of the leader's own log were synced. */
   onSynced(): void;
   onAppendAnswer(from: Peer, message: AppendAnswer): void;
   onSnapshotPartAnswer(from: Peer, message: SnapshotPartAnswer): void;
-  /** Sends heartbeats now, under a new round number, which it returns. */
+  /** Sends heartbeats at once, with a new quorum round number, and returns it. */
   beginRound(): number;
-  /** Whether a majority answered a round. */
+  /** Whether a majority has answered a quorum round. */
   isRoundConfirmed(round: number): boolean;
   progressOf(name: string): Progress | undefined;
-  /** Asks a voter that holds the whole log to lead, if there is one. */
+  /** Asks a reachable voter whose log is complete to take over, if there is one. */
   handOver(): void;
 }
 
-/** Creates the leader's part. */
+/** Creates the sending side of replication. */
 export function createReplication(state: CoreState): Replication {
   const {self, heartbeat, electionTimeout, safeguards} = state.options;
   let members = new Map<string, Progress>();
   let startIndex = 0;
   let round = 0;
-  let beatAt = -Infinity;
+  let lastHeartbeatAt = -Infinity;
 
   function refresh(): void {
     const {voters, learners} = membershipOf(state);
-    const kept = new Map<string, Progress>();
+    const refreshed = new Map<string, Progress>();
     for (const peer of [...voters, ...learners]) {
       if (peer.name === self.name) continue;
-      const known = members.get(peer.name);
-      const isKept = known?.peer.storage === peer.storage;
-      const fresh = () => createProgress(peer, state.log.lastIndex, state.now);
-      kept.set(peer.name, isKept ? known : fresh());
+      const previous = members.get(peer.name);
+      const isKept = previous?.peer.storage === peer.storage;
+      const create = () => createProgress(peer, state.log.lastIndex, state.now);
+      refreshed.set(peer.name, isKept ? previous : create());
     }
-    members = kept;
+    members = refreshed;
   }
 
   function sendAppend(progress: Progress, entries: readonly Entry[]): void {
@@ -86,9 +86,9 @@
 
   function stream(progress: Progress): boolean {
     const first = progress.nextIndex;
-    // Without a bound, a follower that stalls makes the leader hold and send
-    // its whole backlog again and again, until it serves nobody in time.
-    const window = safeguards.flowControl ? windowBatches : Infinity;
+    // Without a limit, a stalled follower makes the leader buffer and resend its
+    // whole backlog repeatedly, until the leader answers nobody in time.
+    const window = safeguards.flowControl ? maxPendingBatches : Infinity;
     while (
       progress.nextIndex <= state.log.lastIndex &&
       progress.pendingBatches.length < window
@@ -102,7 +102,7 @@
   }
 
   const nextBatch = (progress: Progress) =>
-    state.log.after(progress.nextIndex - 1, batchEntries, batchBytes);
+    state.log.after(progress.nextIndex - 1, maxBatchEntries, maxBatchBytes);
 
   function probe(progress: Progress): void {
     if (progress.waitingSince !== undefined) return;
@@ -110,7 +110,7 @@
     sendAppend(progress, nextBatch(progress));
   }
 
-  function sendPart(progress: Progress): void {
+  function sendSnapshotPart(progress: Progress): void {
     if (progress.waitingSince !== undefined) return;
     const {snapshot} = state;
     if (progress.snapshotIndex !== snapshot.index) progress.offset = 0;
@@ -125,38 +125,38 @@
       membership: snapshot.membership,
       offset,
       size: snapshot.data.length,
-      data: snapshot.data.subarray(offset, offset + partBytes),
+      data: snapshot.data.subarray(offset, offset + snapshotPartBytes),
       round,
     });
   }
 
-  /** Entries that the log has dropped can only come as a snapshot. */
-  function chooseFeed(progress: Progress): void {
+  /** A follower that needs compacted entries must receive a snapshot. */
+  function updateMode(progress: Progress): void {
     if (progress.nextIndex <= state.log.baseIndex) progress.mode = 'snapshot';
   }
 
-  /** Sends what may be sent; true when an append went out. */
-  function feed(progress: Progress): boolean {
-    chooseFeed(progress);
+  /** Sends what the mode allows; returns whether entries were streamed. */
+  function replicateTo(progress: Progress): boolean {
+    updateMode(progress);
     if (progress.mode === 'stream') return stream(progress);
-    if (progress.mode === 'snapshot') sendPart(progress);
+    if (progress.mode === 'snapshot') sendSnapshotPart(progress);
     else probe(progress);
     return false;
   }
 
-  function feedAll(): void {
-    for (const progress of members.values()) feed(progress);
+  function replicateToAll(): void {
+    for (const progress of members.values()) replicateTo(progress);
   }
 
-  function beat(): void {
-    beatAt = state.now;
+  function sendHeartbeats(): void {
+    lastHeartbeatAt = state.now;
     for (const progress of members.values()) {
-      const since = progress.waitingSince;
-      const isLost =
-        since !== undefined && state.now - since >= electionTimeout;
-      if (isLost) progress.waitingSince = undefined;
-      chooseFeed(progress);
-      if (progress.mode === 'snapshot') sendPart(progress);
+      const sentAt = progress.waitingSince;
+      const isOverdue =
+        sentAt !== undefined && state.now - sentAt >= electionTimeout;
+      if (isOverdue) progress.waitingSince = undefined;
+      updateMode(progress);
+      if (progress.mode === 'snapshot') sendSnapshotPart(progress);
       else sendAppend(progress, []);
     }
   }
@@ -167,20 +167,20 @@
   }
 
   /**
-   * Commits what a majority has synced. Entries of earlier terms are only
-   * committed by one of this term: counted alone, a majority's copies of an
-   * old entry could still be overwritten by a later leader.
+   * Commits the entries that a majority has synced. Entries of earlier terms are
+   * committed only together with an entry of this term, because an old entry that
+   * a majority holds can still be overwritten by a later leader.
    */
   function advanceCommit(): void {
     const matches = membershipOf(state).voters.map(matchOf);
     matches.sort((left, right) => right - left);
     const index = matches[majorityOf(state) - 1]!;
     if (index <= state.commitIndex) return;
-    const isOwn = state.log.termAt(index) === state.term;
-    if (!isOwn && safeguards.ownTermCommit) return;
+    const isOwnTerm = state.log.termAt(index) === state.term;
+    if (!isOwnTerm && safeguards.ownTermCommit) return;
     commitTo(state, index);
     for (const progress of members.values()) {
-      const isIdle = progress.mode === 'stream' && !feed(progress);
+      const isIdle = progress.mode === 'stream' && !replicateTo(progress);
       if (isIdle && progress.nextIndex > state.log.lastIndex) {
         sendAppend(progress, []);
       }
@@ -188,21 +188,21 @@
   }
 
   /**
-   * A leader whose answers no longer come back may have been replaced without
-   * hearing of it; it stops, so that its callers look for the real one.
+   * A leader that receives no answers may have been replaced without knowing. It
+   * steps down so that clients look for the present leader.
    */
   function checkQuorum(): void {
     if (!safeguards.checkQuorum) return;
-    const heard = membershipOf(state).voters.filter(voter => {
+    const reachable = membershipOf(state).voters.filter(voter => {
       if (isSamePeer(state, voter, self)) return true;
-      const at = members.get(voter.name)?.contactAt ?? -Infinity;
-      return state.now - at < electionTimeout;
+      const contactAt = members.get(voter.name)?.contactAt ?? -Infinity;
+      return state.now - contactAt < electionTimeout;
     });
-    if (heard.length < majorityOf(state)) stepDown(state);
+    if (reachable.length < majorityOf(state)) stepDown(state);
   }
 
-  /** The member behind an answer of this term, or undefined. */
-  function findAnswerer(
+  /** The member that sent an answer in this term, or undefined. */
+  function findSender(
     from: Peer,
     message: AppendAnswer | SnapshotPartAnswer,
   ): Progress | undefined {
@@ -218,13 +218,13 @@
 
   function onAccepted(progress: Progress, matchIndex: number): void {
     if (progress.mode === 'probe') progress.waitingSince = undefined;
-    const isReached = matchIndex >= progress.snapshotIndex;
-    if (progress.mode !== 'snapshot' || isReached) progress.mode = 'stream';
+    const hasSnapshot = matchIndex >= progress.snapshotIndex;
+    if (progress.mode !== 'snapshot' || hasSnapshot) progress.mode = 'stream';
     if (matchIndex > progress.matchIndex) progress.matchIndex = matchIndex;
     progress.nextIndex = Math.max(progress.nextIndex, progress.matchIndex + 1);
     const {matchIndex: match} = progress;
     progress.pendingBatches = progress.pendingBatches.filter(
-      last => last > match,
+      lastIndex => lastIndex > match,
     );
     advanceCommit();
   }
@@ -232,11 +232,12 @@
   function onRefused(progress: Progress, message: AppendAnswer): void {
     if (progress.mode === 'snapshot') return;
     if (message.previousIndex <= progress.matchIndex) return;
-    const hint = Math.min(message.matchIndex + 1, message.previousIndex);
-    progress.nextIndex = Math.max(progress.matchIndex + 1, hint);
+    const nextTry = Math.min(message.matchIndex + 1, message.previousIndex);
+    progress.nextIndex = Math.max(progress.matchIndex + 1, nextTry);
     progress.pendingBatches = [];
     progress.waitingSince = undefined;
-    // A folder without a group has no log to append to, not even an empty one.
+    // A negative index means that the member's data folder belongs to no group.
+    // It has no log yet, so it needs a snapshot.
     progress.mode = message.matchIndex < 0 ? 'snapshot' : 'probe';
   }
 
@@ -247,7 +248,7 @@
     startTerm() {
       members = new Map();
       round = 0;
-      beatAt = state.now;
+      lastHeartbeatAt = state.now;
       startIndex = state.log.lastIndex + 1;
       refresh();
       this.append([{kind: 'no-op', index: startIndex, term: state.term}]);
@@ -255,58 +256,59 @@
     append(entries) {
       appendEntries(state, entries);
       refresh();
-      feedAll();
+      replicateToAll();
       advanceCommit();
     },
     tick() {
       checkQuorum();
       if (roleOf(state) !== 'leader') return;
-      if (state.now - beatAt >= heartbeat) beat();
+      if (state.now - lastHeartbeatAt >= heartbeat) sendHeartbeats();
     },
     onSynced() {
       advanceCommit();
     },
     onAppendAnswer(from, message) {
-      const progress = findAnswerer(from, message);
+      const progress = findSender(from, message);
       if (progress === undefined) return;
       if (message.accepted) onAccepted(progress, message.matchIndex);
       else onRefused(progress, message);
-      feed(progress);
+      replicateTo(progress);
     },
     onSnapshotPartAnswer(from, message) {
-      const progress = findAnswerer(from, message);
+      const progress = findSender(from, message);
       if (progress === undefined || progress.mode !== 'snapshot') return;
       if (message.index !== progress.snapshotIndex) return;
       progress.offset = message.offset;
       progress.waitingSince = undefined;
       const isWhole = message.offset >= state.snapshot.data.length;
-      // Whole: wait for it to be durable, which an `appended` tells.
+      // After the last part the follower sends an `appended` message once the
+      // snapshot is durable.
       if (isWhole) progress.waitingSince = state.now;
-      else sendPart(progress);
+      else sendSnapshotPart(progress);
     },
     beginRound() {
       round++;
-      beat();
+      sendHeartbeats();
       return round;
     },
-    isRoundConfirmed(wanted) {
+    isRoundConfirmed(askedRound) {
       if (!safeguards.quorumRead) return true;
       const answered = membershipOf(state).voters.filter(
         voter =>
           isSamePeer(state, voter, self) ||
-          (members.get(voter.name)?.answeredRound ?? 0) >= wanted,
+          (members.get(voter.name)?.answeredRound ?? 0) >= askedRound,
       );
       return answered.length >= majorityOf(state);
     },
     progressOf: name => members.get(name),
     handOver() {
-      const heir = membershipOf(state).voters.find(({name}) => {
+      const successor = membershipOf(state).voters.find(({name}) => {
         const progress = members.get(name);
         if (progress?.matchIndex !== state.log.lastIndex) return false;
         return state.now - progress.contactAt < electionTimeout;
       });
-      if (heir === undefined) return;
-      send(state, heir.name, {kind: 'take-over', term: state.term});
+      if (successor === undefined) return;
+      send(state, successor.name, {kind: 'take-over', term: state.term});
     },
   };
 }
--- a/src/consensus/status-view.ts
+++ b/src/consensus/status-view.ts
@@ -3,9 +3,9 @@
 import type {GroupLinks} from './group-links.js';
 import type {Voter} from './messages.js';
 
-/** What a view of the group is made from. */
+/** Options of createStatusView. */
 export interface StatusViewOptions {
-  /** This process as a member. */
+  /** This process as a member of the group. */
   readonly selfVoter: Voter;
   readonly state: Readonly<CoreState>;
   readonly links: Pick<GroupLinks, 'find' | 'reportedMembers' | 'bytesOut'>;
@@ -13,15 +13,19 @@
   readonly logBytes: () => number;
 }
 
-/** Creates the view that a process gives of its group. */
+/** Creates a function that returns the present status of the group. */
 export function createStatusView(options: StatusViewOptions): () => Status {
-  const {selfVoter: me, state, links, logBytes} = options;
+  const {selfVoter, state, links, logBytes} = options;
 
-  /** A member as it last told of itself, where it stands at other ports now. */
-  function view(member: Voter): Voter {
-    const told = member.name === me.name ? me : links.find(member.name);
-    if (told?.storage !== member.storage) return member;
-    const {operatorAddress, distributionAddress} = told;
+  /**
+   * Returns a member with the addresses that it last announced. They are newer
+   * than those in the log when the member has moved to other ports.
+   */
+  function withAnnouncedAddresses(member: Voter): Voter {
+    const announced =
+      member.name === selfVoter.name ? selfVoter : links.find(member.name);
+    if (announced?.storage !== member.storage) return member;
+    const {operatorAddress, distributionAddress} = announced;
     return {
       ...member,
       ...(operatorAddress !== undefined && {operatorAddress}),
@@ -38,8 +42,8 @@
       commitIndex: state.commitIndex,
       lastIndex: state.log.lastIndex,
       snapshotIndex: state.snapshot.index,
-      voters: voters.map(view),
-      learners: learners.map(view),
+      voters: voters.map(withAnnouncedAddresses),
+      learners: learners.map(withAnnouncedAddresses),
       reportedMembers: links.reportedMembers,
       bytesOut: links.bytesOut,
       logBytes: logBytes(),
--- a/src/consensus/storage-failure.ts
+++ b/src/consensus/storage-failure.ts
@@ -2,7 +2,7 @@
 import {Failure} from '../result/failure.js';
 import {consensusCodes} from './codes.js';
 
-/** The numbered failure for an error of the disk. */
+/** Converts an error of the disk to a failure with a result code. */
 export function toFailure(error: unknown): Failure {
   const cause = error as NodeJS.ErrnoException;
   if (cause instanceof Failure) return cause;
--- a/src/consensus/storage-log.ts
+++ b/src/consensus/storage-log.ts
@@ -5,90 +5,90 @@
 import {consensusCodes} from './codes.js';
 import type {Entry} from './messages.js';
 
-/** What one record of the log file holds. */
+/** The content of one record of the log file. */
 type LogRecord =
-  /** The entry before the first one of the file. */
+  /** Index and term of the entry before the first one in the file. */
   | {readonly kind: 'base'; readonly index: number; readonly term: number}
-  /** All entries up to `index` were synced before this was written. */
+  /** Sync mark: all entries up to `index` were synced before it was written. */
   | {readonly kind: 'synced'; readonly index: number}
   | Entry;
 
-/** The log on disk. Its operations must not overlap. */
+/** The log on disk. Its operations must not run concurrently. */
 export interface StorageLog {
   readonly lastIndex: number;
   /** Size of the file in bytes. */
   readonly size: number;
-  /** Whether the file itself tells up to where it was synced. */
+  /** Whether the last sync mark in the file covers all synced entries. */
   readonly isMarked: boolean;
-  /** Writes entries; durable only after `sync`. */
+  /** Writes entries; they are durable only after `sync`. */
   append(entries: readonly Entry[]): Promise<void>;
   sync(): Promise<void>;
-  /** Notes the synced point when no later batch did; durable when it returns. */
+  /** Writes a sync mark, durably, unless a later batch has written one. */
   mark(): Promise<void>;
-  /** Drops `index` and everything after it, durably. */
+  /** Removes the entry at `index` and all later ones, durably. */
   cut(index: number): Promise<void>;
-  /** Forgets entries up to `index`, durably. */
+  /** Removes entries up to `index`, durably. */
   compact(index: number, term: number): Promise<void>;
-  /** Starts again, empty, after an entry. */
+  /** Replaces the log by an empty one that continues after an entry. */
   reset(index: number, term: number): Promise<void>;
   close(): Promise<void>;
 }
 
-/** A log as it was found on disk. */
+/** An opened log and the content that was found. */
 export interface OpenedLog {
   readonly log: StorageLog;
   readonly baseIndex: number;
   readonly baseTerm: number;
   readonly entries: readonly Entry[];
-  /** Bytes of a torn tail that were cut off. */
+  /** Size of an incomplete last write that was truncated, in bytes. */
   readonly tornBytes: number;
 }
 
-const file = 'log';
+const fileName = 'log';
 const packr = new Packr({useRecords: false});
 
-/** Where an entry's record starts in the file. */
-interface Place {
+/** The offset at which an entry's record starts in the file. */
+interface EntryOffset {
   readonly index: number;
   readonly offset: number;
 }
 
-interface Scan {
+interface LogScan {
   readonly base: {readonly index: number; readonly term: number};
   readonly entries: Entry[];
-  readonly places: Place[];
-  /** Offset after the last whole record. */
+  readonly offsets: EntryOffset[];
+  /** Offset after the last complete record. */
   readonly end: number;
 }
 
 const encode = (record: LogRecord) => encodeRecord(packr.pack(record));
 
-/** Creates the log file of a new folder. */
+/** Creates the log file of a new data folder. */
 export async function createStorageLog(
   disk: Disk,
   index: number,
   term: number,
 ): Promise<void> {
-  await disk.replace(file, encode({kind: 'base', index, term}));
+  await disk.replace(fileName, encode({kind: 'base', index, term}));
 }
 
 /**
  * Opens the log file; throws a `Failure` when it is damaged. Tests switch
- * `isTailChecked` off to show what would be lost.
+ * `isTailChecked` off to show that accepted entries would be lost without it.
  */
 export async function openStorageLog(
   disk: Disk,
   isTailChecked = true,
 ): Promise<OpenedLog> {
-  const content = await disk.read(file);
+  const content = await disk.read(fileName);
   if (content === undefined) throw damaged('the log file is missing');
   const scan = scanLog(content);
   const tornBytes = content.length - scan.end;
   if (tornBytes > 0 && isTailChecked) checkTail(content, scan);
-  const appender = await disk.open(file);
+  const appender = await disk.open(fileName);
   if (tornBytes > 0) await appender.truncate(scan.end);
   return {
-    log: manage(disk, appender, scan),
+    log: createLog(disk, appender, scan),
     baseIndex: scan.base.index,
     baseTerm: scan.base.term,
     entries: scan.entries,
@@ -103,32 +103,34 @@
   );
 }
 
-function scanLog(content: Buffer): Scan {
-  const first = readRecord(content, 0);
-  const base = first && (packr.unpack(first.payload) as LogRecord);
-  if (base?.kind !== 'base') throw damaged('the log file has no start');
+function scanLog(content: Buffer): LogScan {
+  const firstRecord = readRecord(content, 0);
+  const base = firstRecord && (packr.unpack(firstRecord.payload) as LogRecord);
+  if (base?.kind !== 'base')
+    throw damaged('the log file has no valid first record');
   const entries: Entry[] = [];
-  const places: Place[] = [];
-  let end = first!.end;
+  const offsets: EntryOffset[] = [];
+  let end = firstRecord!.end;
   for (let next = readRecord(content, end); next;) {
     const record = packr.unpack(next.payload) as LogRecord;
     if (record.kind !== 'synced' && record.kind !== 'base') {
       entries.push(record);
-      places.push({index: record.index, offset: end});
+      offsets.push({index: record.index, offset: end});
     }
     end = next.end;
     next = readRecord(content, end);
   }
-  return {base, entries, places, end};
+  return {base, entries, offsets, end};
 }
 
 /**
- * Bytes after the last whole record are a torn tail, never acknowledged, when
- * the process died before their sync. A later mark that speaks of entries
- * which are not there tells the other case: synced, acknowledged bytes were
- * damaged. Cutting these would silently take back accepted changes.
+ * Checks the bytes after the last complete record. Usually they are an incomplete
+ * write: the process died before their sync, so they were never acknowledged. A
+ * later sync mark for entries that are missing shows the other case, in which
+ * synced and acknowledged bytes were damaged. Truncating those would silently
+ * lose accepted changes.
  */
-function checkTail(content: Buffer, scan: Scan): void {
+function checkTail(content: Buffer, scan: LogScan): void {
   const last = scan.entries.at(-1)?.index ?? scan.base.index;
   for (const found of searchRecords(content, scan.end)) {
     const record = packr.unpack(found.payload) as LogRecord;
@@ -140,13 +142,17 @@
   }
 }
 
-function manage(disk: Disk, opened: Appender, scan: Scan): StorageLog {
-  let appender = opened;
-  let {base, places, end: size} = scan;
-  let synced = places.at(-1)?.index ?? base.index;
+function createLog(
+  disk: Disk,
+  openedFile: Appender,
+  scan: LogScan,
+): StorageLog {
+  let appender = openedFile;
+  let {base, offsets, end: size} = scan;
+  let synced = offsets.at(-1)?.index ?? base.index;
   let marked = synced;
 
-  const lastIndex = () => places.at(-1)?.index ?? base.index;
+  const lastIndex = () => offsets.at(-1)?.index ?? base.index;
 
   async function write(bytes: Buffer): Promise<void> {
     await appender.append(bytes);
@@ -155,10 +161,10 @@
 
   async function replace(content: Buffer): Promise<void> {
     await appender.close();
-    await disk.replace(file, content);
-    appender = await disk.open(file);
+    await disk.replace(fileName, content);
+    appender = await disk.open(fileName);
     const next = scanLog(content);
-    ({base, places, end: size} = next);
+    ({base, offsets, end: size} = next);
     synced = lastIndex();
     marked = synced;
   }
@@ -180,7 +186,7 @@
       for (const entry of entries) {
         const record = encode(entry);
         parts.push(record);
-        places.push({index: entry.index, offset});
+        offsets.push({index: entry.index, offset});
         offset += record.length;
       }
       await write(Buffer.concat(parts));
@@ -197,18 +203,18 @@
       marked = synced;
     },
     async cut(index) {
-      const at = places.findIndex(place => place.index >= index);
-      if (at < 0) return;
-      size = places[at]!.offset;
-      places.length = at;
+      const position = offsets.findIndex(entry => entry.index >= index);
+      if (position < 0) return;
+      size = offsets[position]!.offset;
+      offsets.length = position;
       await appender.truncate(size);
       synced = Math.min(synced, lastIndex());
       marked = Math.min(marked, synced);
     },
     async compact(index, term) {
       if (index <= base.index) return;
-      const start = places.find(place => place.index > index)?.offset ?? size;
-      const content = (await disk.read(file))!;
+      const start = offsets.find(entry => entry.index > index)?.offset ?? size;
+      const content = (await disk.read(fileName))!;
       const head = encode({kind: 'base', index, term});
       const tail = content.subarray(start, size);
       const mark = encode({kind: 'synced', index: lastIndex()});
--- a/src/consensus/storage.ts
+++ b/src/consensus/storage.ts
@@ -14,27 +14,27 @@
 import {createStorageLog, openStorageLog} from './storage-log.js';
 import type {StorageLog} from './storage-log.js';
 
-/** The durable state of one member. Its operations must not overlap. */
+/** The durable state of one member. Its operations must not run concurrently. */
 export interface Storage {
   readonly identity: Identity;
-  /** What was found at the start. */
+  /** The state that was read at the start. */
   readonly stored: StoredState;
   /** Size of the log file in bytes. */
   readonly logBytes: number;
-  /** Whether the log itself tells up to where it was synced. */
+  /** Whether the log file itself records how far it was synced. */
   readonly isMarked: boolean;
   saveVote(vote: Vote): Promise<void>;
   append(entries: readonly Entry[]): Promise<void>;
   sync(): Promise<void>;
   mark(): Promise<void>;
   cut(index: number): Promise<void>;
-  /** Saves a snapshot of the own state and drops the log behind `keepAfter`. */
+  /** Saves a snapshot of this member's state and drops entries up to `keepAfter`. */
   saveSnapshot(
     snapshot: Snapshot,
     keepAfter: number,
     keepAfterTerm: number,
   ): Promise<void>;
-  /** Takes over a snapshot of the group's, in place of the log. */
+  /** Replaces snapshot and log by a snapshot received from the group. */
   install(
     snapshot: Snapshot,
     group: string,
@@ -52,8 +52,8 @@
 }
 
 /**
- * The group's identity: the data folders that founded it. A group formed by
- * other folders, even under the same names, is another group.
+ * The identifier of a group, derived from the data folders that founded it. A
+ * group formed by other folders is a different group, even with the same names.
  */
 export function groupIdOf(founders: readonly Voter[]): string {
   const names = founders.map(({name, storage}) => `${name}=${storage}`);
@@ -61,7 +61,7 @@
   return hash.digest('hex').slice(0, 16);
 }
 
-/** Opens the durable state of the member `owner`; makes it in an empty folder. */
+/** Opens the durable state of member `owner`; in an empty folder it creates it. */
 export async function openStorage(disk: Disk, owner: string): Promise<Storage> {
   const found = await readIdentity(disk);
   if (found !== undefined && found.owner !== owner) {
@@ -84,7 +84,7 @@
 function openNew(disk: Disk, identity: Identity): Storage {
   const {term, votedFor} = identity;
   const snapshot = {...createInitialSnapshot([]), membership: noMembership};
-  return manage(disk, identity, undefined, {
+  return createStorage(disk, identity, undefined, {
     vote: {term, votedFor},
     snapshot,
     baseIndex: 0,
@@ -100,13 +100,13 @@
   const found = await openStorageLog(disk);
   const {log, entries, baseIndex, baseTerm} = found;
   const vote = {term, votedFor};
-  if (reaches(snapshot, found)) {
+  if (continuesSnapshot(snapshot, found)) {
     const stored = {vote, snapshot, baseIndex, baseTerm, entries, formed: true};
-    return manage(disk, identity, log, stored);
+    return createStorage(disk, identity, log, stored);
   }
-  // The process died between taking over a snapshot and emptying the log.
+  // The process died after it wrote a received snapshot and before it reset the log.
   await log.reset(snapshot.index, snapshot.term);
-  return manage(disk, identity, log, {
+  return createStorage(disk, identity, log, {
     vote,
     snapshot,
     baseIndex: snapshot.index,
@@ -116,8 +116,8 @@
   });
 }
 
-/** Whether the log goes on from the snapshot without a gap. */
-function reaches(
+/** Whether the log continues the snapshot without a gap. */
+function continuesSnapshot(
   snapshot: Snapshot,
   found: {baseIndex: number; baseTerm: number; entries: readonly Entry[]},
 ): boolean {
@@ -132,16 +132,16 @@
   return entry?.term === snapshot.term;
 }
 
-function manage(
+function createStorage(
   disk: Disk,
-  found: Identity,
-  opened: StorageLog | undefined,
+  storedIdentity: Identity,
+  openedLog: StorageLog | undefined,
   stored: StoredState,
 ): Storage {
-  let identity = found;
-  let log = opened;
+  let identity = storedIdentity;
+  let log = openedLog;
 
-  async function form(
+  async function joinGroup(
     group: string,
     founders: readonly Voter[],
   ): Promise<void> {
@@ -182,7 +182,7 @@
       } else {
         await log.reset(snapshot.index, snapshot.term);
       }
-      if (identity.group === undefined) await form(group, founders);
+      if (identity.group === undefined) await joinGroup(group, founders);
     },
     async close() {
       await log?.close();
--- a/src/consensus/writer.ts
+++ b/src/consensus/writer.ts
@@ -3,7 +3,7 @@
 import type {Storage} from './storage.js';
 import {toFailure} from './storage-failure.js';
 
-/** One thing for the disk, or one that must wait for the disk. */
+/** A write to the disk, or a message that must wait for earlier writes. */
 export type WriterJob =
   | {readonly kind: 'save-vote'; readonly vote: Vote}
   | {
@@ -28,31 +28,31 @@
   | {readonly kind: 'mark'}
   | {readonly kind: 'send'; readonly to: string; readonly message: Message};
 
-/** What the writer reports. */
+/** Callbacks of the writer. */
 export interface WriterEvents {
   onSynced(index: number, epoch: number): void;
   onSnapshotSaved(snapshot: Snapshot, keepAfter: number): void;
   onInstalled(): void;
   send(to: string, message: Message): void;
-  /** The disk failed; nothing more is written. */
+  /** Called when the disk failed; nothing more is written. */
   onFailure(failure: Failure): void;
 }
 
-/** Does the disk's work in order, one piece at a time. */
+/** Runs the jobs for the disk in order, one at a time. */
 export interface Writer {
-  /** Whether a vote is not durable yet, so that sends must wait. */
+  /** Whether a vote is not durable yet, so that messages must wait for it. */
   readonly hasPendingVote: boolean;
   readonly isIdle: boolean;
   push(job: WriterJob): void;
-  /** Lets what was begun end and takes no more. */
+  /** Waits until the queue is empty, then accepts no more jobs. */
   stop(): Promise<void>;
 }
 
-/** How the writer works; tests and measurements change it. */
+/** Options of createWriter; only tests and measurements change them. */
 export interface WriterOptions {
-  /** Whether entries that wait share one sync. */
+  /** Whether waiting entries share one sync. */
   readonly groupCommit: boolean;
-  /** Whether a failed sync ends the writer; off only to show why it must. */
+  /** Whether a failed sync ends the writer; tests switch it off to show why it must. */
   readonly stopOnFailure: boolean;
 }
 
@@ -63,12 +63,12 @@
   options: WriterOptions,
 ): Writer {
   let jobs: WriterJob[] = [];
-  let votes = 0;
+  let pendingVotes = 0;
   let running: Promise<void> | undefined;
   let isStopped = false;
 
-  /** The entries of all appends at the head of the queue. */
-  function takeAppends(
+  /** Merges the appends at the head of the queue into one. */
+  function collectAppends(
     first: WriterJob & {kind: 'append'},
   ): WriterJob & {kind: 'append'} {
     const entries = [...first.entries];
@@ -95,10 +95,10 @@
     switch (job.kind) {
       case 'save-vote':
         await storage.saveVote(job.vote);
-        votes--;
+        pendingVotes--;
         return;
       case 'append': {
-        const {entries, epoch} = takeAppends(job);
+        const {entries, epoch} = collectAppends(job);
         if (options.groupCommit) return append(entries, epoch);
         return appendEach(entries, epoch);
       }
@@ -126,9 +126,9 @@
   }
 
   /**
-   * After a failed sync the kernel may have dropped the bytes and call the next
-   * sync a success. So the first failure ends the writer: what is really on
-   * disk is found out by starting again.
+   * After a failed sync the kernel may have dropped the bytes and still report
+   * the next sync as successful. The first failure therefore ends the writer, and
+   * only a restart reads what the disk really holds.
    */
   function fail(error: unknown): void {
     isStopped = true;
@@ -143,28 +143,28 @@
         await run(job);
       } catch (error) {
         if (options.stopOnFailure) fail(error);
-        else retry(job);
+        else reportSyncedAnyway(job);
       }
     }
     running = undefined;
   }
 
-  /** The unsafe way: takes the failed sync for a passing trouble. */
-  function retry(job: WriterJob): void {
+  /** Unsafe, for tests: reports a failed append as synced. */
+  function reportSyncedAnyway(job: WriterJob): void {
     if (job.kind !== 'append') return;
     events.onSynced(job.entries.at(-1)!.index, job.epoch);
   }
 
   return {
     get hasPendingVote() {
-      return votes > 0;
+      return pendingVotes > 0;
     },
     get isIdle() {
       return running === undefined;
     },
     push(job) {
       if (isStopped) return;
-      if (job.kind === 'save-vote') votes++;
+      if (job.kind === 'save-vote') pendingVotes++;
       jobs.push(job);
       running ??= Promise.resolve().then(drain);
     },
