--- a/src/consensus/codes.ts
+++ b/src/consensus/codes.ts
@@ -1,6 +1,6 @@
 import {defineCode} from '../result/code.js';
 
-/** Results of the control group and of its storage: 3000 to 3999. */
+/** Result codes of the control group and its storage, from 3000 to 3999. */
 export const consensusCodes = {
   notLeader: defineCode(
     3001,
--- a/src/consensus/create-consensus.ts
+++ b/src/consensus/create-consensus.ts
@@ -20,12 +20,13 @@
 
 export type {ConsensusOptions} from './options.js';
 
-/** Election timeouts after which a read barrier is given up. */
+/** Timeout of a read barrier, as a multiple of the election timeout. */
 const readTimeoutFactor = 6;
 
 /**
- * Starts a member of the control group: opens its folder, listens and joins in.
- * Throws a `Failure` when the folder is damaged or another member's.
+ * Starts a member of the control group: opens its data folder, listens for the
+ * other members and joins the group. Throws a `Failure` when the data folder is
+ * damaged or belongs to another member.
  */
 export async function createConsensus(
   given: ConsensusOptions,
@@ -44,8 +45,8 @@
   const pendingActions: Action[] = [];
   let isPerforming = false;
   let stopped: Result<never> | undefined;
-  /** Set while a leader that stops waits for another to lead. */
-  let endRetirement: (() => void) | undefined;
+  /** Set while a leader that is stopping waits for another member to lead. */
+  let onHandedOver: (() => void) | undefined;
   let membership = state.log.membership;
 
   const mustQueueSends = () =>
@@ -115,8 +116,8 @@
   }
 
   /**
-   * Does actions in the order in which they were decided. An action may lead to
-   * the next event at once; its actions wait until the earlier ones are done.
+   * Performs actions in the given order. An action may cause the next event
+   * synchronously; the actions of that event run after all earlier ones.
    */
   function perform(actions: readonly Action[]): void {
     pendingActions.push(...actions);
@@ -142,9 +143,9 @@
       voters: namesOf(voters),
       learners: namesOf(learners),
       leaving: replacement?.leaving,
-      // Of these the leader chooses who takes a lost voter's place.
+      // The processes from which the leader chooses the replacement of a lost voter.
       ready: namesOf(links.ready),
-      // Voters that may be lost at once with their disks.
+      // Number of voters that may be lost at once together with their disks.
       bearable: Math.ceil(voters.length / 2) - 1,
     });
   }
@@ -156,7 +157,7 @@
   function performAction(action: Action): void {
     switch (action.kind) {
       case 'send':
-        // A vote must be durable before anybody can count on it.
+        // A vote must be durable before another member relies on it.
         if (mustQueueSends()) writer.push(action);
         else links.send(action.to, action.message);
         return;
@@ -185,8 +186,8 @@
   }
 
   /**
-   * A machine that can't follow the others must not go on beside them: it would
-   * answer with a state that nobody accepted.
+   * A state machine that can't apply an entry must stop. Its state would differ
+   * from the others', and it would answer with changes that were never accepted.
    */
   function apply(index: number): void {
     try {
@@ -202,20 +203,21 @@
     const {role, term, leader} = current;
     log.info('role', {role, term, leader: leader ?? null});
     for (const observe of roleObservers) observe(current);
-    if (!isLeader()) endRetirement?.();
+    if (!isLeader()) onHandedOver?.();
   }
 
   function tick(): void {
     handle({kind: 'tick'});
     reads.tick();
-    if (endRetirement !== undefined && proposals.count === 0) {
+    if (onHandedOver !== undefined && proposals.count === 0) {
       handle({kind: 'hand-over'});
     }
-    // Between changes: lets a damaged last entry be told from a torn one.
+    // While idle, a sync mark is written so that damage to the last entry can be
+    // distinguished from an incomplete write.
     if (writer.isIdle && !storage.isMarked) writer.push({kind: 'mark'});
   }
 
-  /** Hands over the changes of one turn of the loop together. */
+  /** Proposes all changes of one event loop turn together. */
   function flush(): void {
     if (stopped !== undefined) return;
     if (!isLeader()) proposals.refuse(notLeader());
@@ -239,7 +241,7 @@
       pendingBytesLimit: openBytesLimit,
     } = options;
     if (stopped !== undefined) return stopped;
-    if (!isLeader() || endRetirement !== undefined) return notLeader();
+    if (!isLeader() || onHandedOver !== undefined) return notLeader();
     if (data.length > entryLimit) {
       return failure(
         consensusCodes.entryTooLarge,
@@ -268,7 +270,7 @@
         `${joining.name} has not called; start it with this group's members in its settings`,
       );
     }
-    // The command gives its peer address; the rest it has told by itself.
+    // The command gives the peer address; the other addresses come from the hello.
     const voter = {...connected, ...joining};
     const {answer, actions} = core.replace(leaving, voter, timers.now());
     perform(actions);
@@ -278,15 +280,15 @@
   }
 
   /**
-   * A leader that stops lets its open changes end, then has another member lead,
-   * so that a planned stop costs no election timeout. A bound keeps a group
-   * without a fit member from delaying the stop.
+   * A leader that stops waits for its pending changes and then hands leadership
+   * over, so that a planned stop costs no election timeout. The wait is limited
+   * because the group may have no member that can take over.
    */
-  async function retire(): Promise<void> {
+  async function handOverLeadership(): Promise<void> {
     if (stopped !== undefined || !isLeader()) return;
     if (state.log.membership.voters.length === 1) return;
     await new Promise<void>(resolve => {
-      endRetirement = resolve;
+      onHandedOver = resolve;
       timers.after(electionTimeout, resolve);
     });
   }
@@ -323,7 +325,7 @@
     onRoleChange: observe => void roleObservers.push(observe),
     onMembersChange: observe => void memberObservers.push(observe),
     async stop() {
-      await retire();
+      await handOverLeadership();
       await halt(
         failure(consensusCodes.stopped, 'this control process has stopped'),
       );
--- a/src/consensus/known-members.ts
+++ b/src/consensus/known-members.ts
@@ -1,37 +1,38 @@
-/** Which members the group has, for this process and those that it talks to. */
+/** The newest known list of group members, from the log or from other processes. */
 import type {Member} from './consensus.js';
 import type {MemberList} from './messages.js';
 
-/** The members that one process knows. */
+/** The members of the group as far as this process knows. */
 export interface KnownMembers {
-  /** Takes the members of the own log; returns whether others are to hear. */
+  /** Sets the members of this process's log; returns whether to announce them. */
   updateFromLog(logged: MemberList): boolean;
-  /** Takes what a hello tells; returns whether others are to hear. */
+  /** Sets the members that a hello reports; returns whether to announce them. */
   updateFromHello(list: MemberList | undefined): boolean;
-  /** Those that were told, while the own log does not know them. */
+  /** The reported members, if they are newer than those of this process's log. */
   reported(): readonly Member[];
-  /** The newest that is known, to be told to others. */
+  /** The newest list that is known; hellos carry it to other processes. */
   newest(): MemberList | undefined;
 }
 
 /**
- * Creates the knowledge of a process that knows nobody yet. Settings name a few
- * processes, which may be gone or no members any more, and a process that stands
- * ready would call these alone. The leader would not know of it, could not put
- * it in a lost voter's place, and the next loss would end the group. So members
- * tell who they are, and who is told calls them all. A process that is no member
- * passes on what it was told, for those that are told of no member at all.
+ * Creates the register of known members, which is empty at first. Settings name a
+ * few processes, which may be gone or may no longer be members. A standby process
+ * that connected to these alone would be unknown to the leader, which could not
+ * use it to replace a lost voter, and the next loss would end the group. Hellos
+ * therefore carry the list of members, and a process connects to all members on
+ * the list that it receives. A process that is not a member forwards the list, so
+ * that it also reaches processes whose settings name no member.
  */
 export function createKnownMembers(self: string): KnownMembers {
   let logged: MemberList | undefined;
-  let told: MemberList | undefined;
+  let remote: MemberList | undefined;
 
   const indexOf = (list: MemberList | undefined) => list?.index ?? -1;
-  const newest = () => (indexOf(told) > indexOf(logged) ? told : logged);
+  const newest = () => (indexOf(remote) > indexOf(logged) ? remote : logged);
 
   return {
     newest,
-    reported: () => (newest() === told ? (told?.members ?? []) : []),
+    reported: () => (newest() === remote ? (remote?.members ?? []) : []),
     updateFromLog(list) {
       logged = list;
       return list.members.length > 0 && newest() === logged;
@@ -39,9 +40,9 @@
     updateFromHello(list) {
       if (list === undefined || list.members.length === 0) return false;
       if (list.index <= indexOf(newest())) return false;
-      // Its own log will tell it soon.
+      // A list that includes this process will arrive in its log as well.
       if (list.members.some(({name}) => name === self)) return false;
-      told = list;
+      remote = list;
       return true;
     },
   };
--- a/src/consensus/membership.ts
+++ b/src/consensus/membership.ts
@@ -3,37 +3,41 @@
 import type {CoreState} from './core-state.js';
 import type {Replication} from './replication.js';
 
-/** Whether a replacement was begun, or why not. */
+/** The answer to a replacement: `begun`, or why it was refused. */
 export type ReplaceAnswer =
   'begun' | 'not-leader' | 'busy' | 'unknown' | 'present';
 
-/** Changes of the group's membership, one voter at a time. */
+/** Changes the group's membership, one voter at a time. */
 export interface MembershipChanges {
-  /** A member told which data folder it runs on. */
+  /** Called when a process has connected and reported its data folder. */
   onPeerConnected(peer: Voter): void;
   onPeerDisconnected(name: string): void;
   replace(leaving: string, joining: Voter): ReplaceAnswer;
-  /** Takes the next step of a change in progress. */
+  /** Performs the next step of a membership change, if one is due. */
   tick(): void;
 }
 
-/** Election timeouts after which a silent joining member is given up. */
-const abandonTimeouts = 60;
+/**
+ * Time after which a joining member that does not answer is removed again, as a
+ * multiple of the election timeout.
+ */
+const joinTimeoutFactor = 60;
 
 /**
- * Creates the leader's part in membership changes. Each step adds or removes
- * one voter, so that any majority before it meets any majority after it; the
- * next step waits until the last one is committed and an entry of this term is,
- * else two leaders could each build on a membership that the other never saw.
+ * Creates the leader's handling of membership changes. Each step adds or removes
+ * one voter, so that every majority before it overlaps every majority after it.
+ * The next step waits until the previous one and an entry of this term are
+ * committed. Otherwise two leaders could each change a membership that the other
+ * has not received.
  */
 export function createMembershipChanges(
   state: CoreState,
   replication: Replication,
 ): MembershipChanges {
   const {self, electionTimeout, replaceLostAfter, safeguards} = state.options;
-  const patience = replaceLostAfter ?? abandonTimeouts * electionTimeout;
-  const votersWanted = votersFor(state.options.faultTolerance);
-  const met = new Map<string, Voter>();
+  const joinTimeout = replaceLostAfter ?? joinTimeoutFactor * electionTimeout;
+  const targetVoters = votersToTolerate(state.options.faultTolerance);
+  const connected = new Map<string, Voter>();
 
   const isLeader = () => state.role.current === 'leader';
 
@@ -52,49 +56,49 @@
     members.filter(member => member.name !== name);
 
   /**
-   * A voter came back on another data folder: it forgot its votes and entries.
-   * It stops being counted and starts again as a learner.
+   * A voter that restarts with a different data folder has lost its votes and
+   * entries. It stops being a voter and becomes a learner.
    */
-  function demoteReturned(): boolean {
+  function demoteChangedVoter(): boolean {
     const {voters, learners, replacement} = membershipOf(state);
-    const returned = [...voters, ...learners].find(member => {
-      const peer = met.get(member.name);
+    const changedMember = [...voters, ...learners].find(member => {
+      const peer = connected.get(member.name);
       return peer !== undefined && !isSamePeer(state, member, peer);
     });
-    if (returned === undefined) return false;
-    const {name} = returned;
+    if (changedMember === undefined) return false;
+    const {name} = changedMember;
     propose({
       voters: without(voters, name),
-      learners: [...without(learners, name), met.get(name)!],
+      learners: [...without(learners, name), connected.get(name)!],
       replacement,
     });
     return true;
   }
 
-  /** A learner that holds the whole log, synced, becomes a voter. */
-  function promoteReady(): boolean {
+  /** A learner becomes a voter once it has synced the whole committed log. */
+  function promoteLearner(): boolean {
     const {voters, learners, replacement} = membershipOf(state);
-    const ready = learners.find(learner => {
+    const caughtUp = learners.find(learner => {
       const progress = replication.progressOf(learner.name);
       if (progress === undefined || progress.mode !== 'stream') return false;
       return progress.matchIndex >= state.commitIndex;
     });
-    if (ready === undefined) return false;
+    if (caughtUp === undefined) return false;
     propose({
-      voters: [...voters, ready],
-      learners: without(learners, ready.name),
+      voters: [...voters, caughtUp],
+      learners: without(learners, caughtUp.name),
       replacement,
     });
     return true;
   }
 
-  /** The joining member counts: the leaving one may go. */
+  /** Once the joining member is a voter, the leaving one is removed. */
   function finishReplacement(): boolean {
     const {voters, learners, replacement} = membershipOf(state);
     if (replacement === undefined) return false;
     const {leaving, joining} = replacement;
     if (!voters.some(voter => voter.name === joining)) return false;
-    // It may be a learner by now, when it came back on an empty folder.
+    // The leaving member may be a learner if it restarted with an empty folder.
     propose({
       voters: without(voters, leaving),
       learners: without(learners, leaving),
@@ -103,33 +107,34 @@
   }
 
   /**
-   * A joining member that stays silent would block every later change, the
-   * replacement of a lost voter above all.
+   * A joining member that does not answer would block every later membership
+   * change, including the replacement of a lost voter. It is removed.
    */
-  function abandonSilent(): boolean {
+  function cancelStalledReplacement(): boolean {
     const {voters, learners, replacement} = membershipOf(state);
     if (replacement === undefined) return false;
     const {joining} = replacement;
-    if (silenceOf(joining) < patience) return false;
+    if (silenceOf(joining) < joinTimeout) return false;
     propose({voters, learners: without(learners, joining)});
     return true;
   }
 
   /**
-   * A voter that is gone for good leaves the group with one vote less to lose:
-   * the next loss would end it. So one that has been silent for long is replaced
-   * where another process has called that belongs to no member; one that only
-   * stood still comes back as such a process itself. It goes as an operator's
-   * replacement does: the joining one counts before the silent one stops to.
+   * Replaces a voter that has not answered for `replaceLostAfter` by a connected
+   * process that is not a member. Without a replacement the group would tolerate
+   * one loss fewer, and the next loss could end it. A voter that was only frozen
+   * returns as a process that may join again. As in an operator's replacement, the
+   * joining process becomes a voter before the lost one is removed.
    */
-  function replaceLost(): boolean {
+  function replaceLostVoter(): boolean {
     const {voters, learners, replacement} = membershipOf(state);
     if (replaceLostAfter === undefined || !isLeader()) return false;
     if (replacement !== undefined) return false;
     const isLost = ({name}: Voter) => silenceOf(name) >= replaceLostAfter;
-    // A voter that came back empty and fell silent again leaves at once.
+    // Learners that do not answer, such as a voter that restarted with an empty
+    // folder and was lost again, are replaced at once: they have no vote.
     if (learners.length > 0) {
-      const next = chooseJoining();
+      const next = chooseJoiningMember();
       if (next === undefined || !learners.every(isLost)) return false;
       propose({voters, learners: [next]});
       return true;
@@ -138,7 +143,7 @@
       voter => voter.name !== self.name && isLost(voter),
     );
     if (lost === undefined) return false;
-    const joining = chooseJoining(lost.name);
+    const joining = chooseJoiningMember(lost.name);
     if (joining === undefined) return false;
     propose({
       voters,
@@ -149,34 +154,37 @@
   }
 
   /**
-   * A group is founded by the few processes that every one is told of, which may
-   * be fewer than the losses to be borne need: with two disks of three lost no
-   * quorum ever comes again, and every node refuses its callers for good. So the
-   * group takes in processes that have called, one at a time, until it bears
-   * them; a learner counts only once it holds the whole log.
+   * Adds a connected process until the group tolerates the configured number of
+   * losses. A group is founded by the few processes that the settings list, which
+   * may be too few: when two of three lose their disks there is never a quorum
+   * again, and every node refuses its callers permanently. Processes are added one
+   * at a time; each becomes a voter only once it holds the whole log.
    */
-  function grow(): boolean {
+  function addVoter(): boolean {
     const {voters, learners, replacement} = membershipOf(state);
     if (!isLeader() || replacement !== undefined) return false;
-    if (learners.length > 0 || voters.length >= votersWanted) return false;
-    const joining = chooseJoining();
+    if (learners.length > 0 || voters.length >= targetVoters) return false;
+    const joining = chooseJoiningMember();
     if (joining === undefined) return false;
     propose({voters, learners: [joining]});
     return true;
   }
 
   /**
-   * A process that has called and is no member, where fewest voters stand that
-   * stay: counted with the leaving one, its failure domain would look taken and
-   * lose its only voter to a domain that has one.
+   * A connected process that is not a member, in the failure domain with the
+   * fewest remaining voters. The leaving voter is not counted. Otherwise its
+   * domain would seem to have a voter, and the replacement could go to a domain
+   * that already has one.
    */
-  function chooseJoining(leaving?: string): Voter | undefined {
-    const staying = without(membershipOf(state).voters, leaving ?? '');
-    const neighbours = ({failureDomain}: Voter) =>
-      staying.filter(voter => voter.failureDomain === failureDomain).length;
-    return [...met.values()]
+  function chooseJoiningMember(leaving?: string): Voter | undefined {
+    const remaining = without(membershipOf(state).voters, leaving ?? '');
+    const votersInDomainOf = ({failureDomain}: Voter) =>
+      remaining.filter(voter => voter.failureDomain === failureDomain).length;
+    return [...connected.values()]
       .filter(peer => !isMember(peer.name))
-      .sort((left, right) => neighbours(left) - neighbours(right))[0];
+      .sort(
+        (left, right) => votersInDomainOf(left) - votersInDomainOf(right),
+      )[0];
   }
 
   function silenceOf(name: string): number {
@@ -190,21 +198,22 @@
 
   return {
     onPeerConnected(peer) {
-      if (peer.name !== self.name) met.set(peer.name, peer);
+      if (peer.name !== self.name) connected.set(peer.name, peer);
     },
     onPeerDisconnected(name) {
-      met.delete(name);
+      connected.delete(name);
     },
     replace(leaving, joining) {
       const {voters, learners, replacement} = membershipOf(state);
       if (!isLeader()) return 'not-leader';
       if (replacement !== undefined || !mayChange()) return 'busy';
-      const rest = without(learners, leaving);
-      if (rest.length > 0) return 'busy';
+      const otherLearners = without(learners, leaving);
+      if (otherLearners.length > 0) return 'busy';
       if (!isMember(leaving)) return 'unknown';
       if (isMember(joining.name)) return 'present';
-      // A learner, such as a voter that came back empty, leaves at once.
-      const isVoter = rest.length === learners.length;
+      // A learner, such as a voter that restarted with an empty folder, is removed
+      // at once.
+      const isVoter = otherLearners.length === learners.length;
       propose({
         voters,
         learners: [joining],
@@ -214,17 +223,17 @@
     },
     tick() {
       if (!mayChange()) return;
-      if (demoteReturned()) return;
-      if (promoteReady()) return;
+      if (demoteChangedVoter()) return;
+      if (promoteLearner()) return;
       if (finishReplacement()) return;
-      if (abandonSilent()) return;
-      if (grow()) return;
-      replaceLost();
+      if (cancelStalledReplacement()) return;
+      if (addVoter()) return;
+      replaceLostVoter();
     },
   };
 }
 
-/** Voters of which so many may be lost while a majority is left. */
-function votersFor(faultTolerance: number | undefined): number {
+/** Number of voters of which `faultTolerance` may be lost without losing the majority. */
+function votersToTolerate(faultTolerance: number | undefined): number {
   return faultTolerance === undefined ? 0 : 2 * faultTolerance + 1;
 }
--- a/src/consensus/peers.ts
+++ b/src/consensus/peers.ts
@@ -5,142 +5,137 @@
 import type {Member} from './consensus.js';
 import type {Hello, Message, Ping} from './messages.js';
 
-/** What the links between members need. */
+/** Options of createPeers; times in milliseconds. */
 export interface PeersOptions {
   readonly self: Member;
   readonly network: Network;
   readonly timers: Timers;
   readonly random: Random;
   readonly log: Log;
-  /** Milliseconds before a lost link is tried again, at least. */
+  /** Minimum delay before a lost link is opened again. */
   readonly reconnectDelay: number;
-  /** Milliseconds without a sign of life after which a link is opened anew. */
+  /** Time without a message after which a link is closed and opened again. */
   readonly silenceTimeout: number;
-  /** The hello that is current. */
+  /** Returns the hello to send at present. */
   readonly hello: () => Hello;
-  /** A member introduced itself, perhaps again. */
+  /** Called for each hello; a process may send several on one link. */
   readonly onHello: (hello: Hello) => void;
   readonly onMessage: (hello: Hello, message: Message) => void;
-  /** The link from a member ended. */
+  /** Called when the link from a process was closed. */
   readonly onDisconnected: (hello: Hello) => void;
 }
 
 /** Links to and from the other members. */
 export interface Peers {
-  /** Keeps a link to a member from now on. */
+  /** Opens a link to a member and reopens it whenever it is lost. */
   maintainLink(member: Member): void;
-  /** Sends if there is a link that takes it; else drops the message. */
+  /** Sends a message, or drops it when there is no link or too much is unsent. */
   send(name: string, message: Message): void;
-  /** Sends the current hello again, to all or to those that `concerns` chooses. */
-  announce(concerns?: (name: string) => boolean): void;
-  /** Bytes sent to all members so far. */
+  /** Sends the present hello again, to all or to those that `isRecipient` selects. */
+  announce(isRecipient?: (name: string) => boolean): void;
+  /** Bytes sent to all members since the start. */
   readonly bytesOut: number;
   stop(): Promise<void>;
 }
 
-/** Bytes that may wait for the wire on one link before messages are dropped. */
-const pendingLimit = 8 * 1024 * 1024;
-/** Signs of life that are asked for within the time of silence. */
-const pingsPerSilence = 5;
-/** A member that stays away is tried less often, up to this many times. */
-const longestBackoff = 20;
+/** Maximum unsent bytes on one link before messages are dropped. */
+const maxPendingBytes = 8 * 1024 * 1024;
+/** Number of pings within `silenceTimeout`. */
+const pingsPerTimeout = 5;
+/** Maximum factor by which the delay grows for a member that stays unreachable. */
+const maxBackoffFactor = 20;
 
-interface Outgoing {
+interface OutgoingLink {
   member: Member;
   link: Link | undefined;
-  retry: Subscription | undefined;
-  /** Attempts since the last sign of life. */
+  retryTimer: Subscription | undefined;
+  /** Connection attempts since the last message. */
   attempts: number;
-  /** When the other end last gave a sign of life. */
-  heardAt: number;
-  isKept: boolean;
+  /** When the other end last sent a message. */
+  lastMessageAt: number;
+  isWanted: boolean;
 }
 
 /**
- * Listens for members and links to them. Each member sends on the links that it
- * opened itself and receives on those that it accepted, so that a cut in one
- * direction shows as one.
+ * Listens for members and opens links to them. Each member sends on the links
+ * that it opened and receives on those that it accepted, so that a network cut in
+ * one direction stops the messages of that direction only.
  */
 export async function createPeers(options: PeersOptions): Promise<Peers> {
-  const {
-    self,
-    network,
-    timers,
-    random,
-    log,
-    reconnectDelay: reconnect,
-  } = options;
-  const outgoing = new Map<string, Outgoing>();
+  const {self, network, timers, random, log, reconnectDelay} = options;
+  const outgoing = new Map<string, OutgoingLink>();
   const accepted = new Set<Link>();
   let closedBytes = 0;
   let isStopped = false;
 
-  function dial(target: Outgoing): void {
-    if (isStopped || !target.isKept) return;
+  function dial(target: OutgoingLink): void {
+    if (isStopped || !target.isWanted) return;
     const {address, name} = target.member;
     network.connect(address).then(
-      link => opened(target, link),
+      link => onOpened(target, link),
       () => {
-        log.debug('no link to member', {member: name, address});
-        redial(target);
+        log.debug('connecting to member failed', {member: name, address});
+        scheduleDial(target);
       },
     );
   }
 
-  function redial(target: Outgoing): void {
-    const backoff = Math.min(2 ** target.attempts++, longestBackoff);
-    const delay = reconnect * backoff * (1 + random.fraction());
-    target.retry = timers.after(delay, () => {
-      target.retry = undefined;
+  function scheduleDial(target: OutgoingLink): void {
+    const backoff = Math.min(2 ** target.attempts++, maxBackoffFactor);
+    const delay = reconnectDelay * backoff * (1 + random.fraction());
+    target.retryTimer = timers.after(delay, () => {
+      target.retryTimer = undefined;
       dial(target);
     });
   }
 
-  /** Tries a member at once that was heard of while its link is down. */
-  function hurry(target: Outgoing): void {
-    if (target.retry === undefined) return;
-    target.retry.cancel();
-    target.retry = undefined;
+  /** Connects at once to a member that was seen while its link is down. */
+  function dialNow(target: OutgoingLink): void {
+    if (target.retryTimer === undefined) return;
+    target.retryTimer.cancel();
+    target.retryTimer = undefined;
     target.attempts = 0;
     dial(target);
   }
 
   /**
-   * After a long silent cut the system's own retransmissions come minutes
-   * apart, and a member that could be reached again would stay alone so long.
-   * A link without signs of life is therefore opened anew.
+   * After a long network cut the operating system's retransmissions are minutes
+   * apart, so a member that is reachable again would stay disconnected for that
+   * long. A link without messages is therefore opened again.
    */
-  function checkLink(target: Outgoing): void {
+  function checkLink(target: OutgoingLink): void {
     const {link} = target;
     if (link === undefined) return;
-    if (timers.now() - target.heardAt < options.silenceTimeout) {
+    if (timers.now() - target.lastMessageAt < options.silenceTimeout) {
       link.send({kind: 'ping'});
       return;
     }
-    log.warn('silent link to member', {member: target.member.name});
-    lose(target, link);
+    log.warn('no message on link to member; opening it again', {
+      member: target.member.name,
+    });
+    detachLink(target, link);
     link.close();
   }
 
-  function lose(target: Outgoing, link: Link): void {
+  function detachLink(target: OutgoingLink, link: Link): void {
     if (target.link !== link) return;
     target.link = undefined;
     closedBytes += link.bytesOut;
-    if (target.isKept) redial(target);
+    if (target.isWanted) scheduleDial(target);
   }
 
-  function opened(target: Outgoing, link: Link): void {
-    if (isStopped || !target.isKept) {
+  function onOpened(target: OutgoingLink, link: Link): void {
+    if (isStopped || !target.isWanted) {
       link.close();
       return;
     }
     target.link = link;
-    target.heardAt = timers.now();
+    target.lastMessageAt = timers.now();
     link.onMessage(() => {
       target.attempts = 0;
-      target.heardAt = timers.now();
+      target.lastMessageAt = timers.now();
     });
-    link.onClose(() => lose(target, link));
+    link.onClose(() => detachLink(target, link));
     link.send(options.hello());
   }
 
@@ -149,7 +144,7 @@
       link.close();
       return;
     }
-    let hello: Hello | undefined;
+    let peerHello: Hello | undefined;
     accepted.add(link);
     link.onMessage(body => {
       if (isStopped) return;
@@ -157,30 +152,31 @@
       if (message.kind === 'ping') {
         link.send(message);
       } else if (message.kind === 'hello') {
-        hello = message;
-        options.onHello(hello);
-      } else if (hello !== undefined) {
-        options.onMessage(hello, message);
+        peerHello = message;
+        options.onHello(peerHello);
+      } else if (peerHello !== undefined) {
+        options.onMessage(peerHello, message);
       } else {
-        // Whose messages these are is unknown; the sender opens a new link.
+        // The sender is unknown without a hello; it will open a new link.
         link.close();
       }
     });
     link.onClose(() => {
       accepted.delete(link);
-      if (hello !== undefined && !isStopped) options.onDisconnected(hello);
+      if (peerHello !== undefined && !isStopped)
+        options.onDisconnected(peerHello);
     });
   }
 
-  function drop(target: Outgoing): void {
-    target.isKept = false;
-    target.retry?.cancel();
+  function abandon(target: OutgoingLink): void {
+    target.isWanted = false;
+    target.retryTimer?.cancel();
     target.link?.close();
   }
 
   const listener: Listener = await network.listen(self.address, accept);
-  const checking = timers.every(
-    options.silenceTimeout / pingsPerSilence,
+  const linkChecks = timers.every(
+    options.silenceTimeout / pingsPerTimeout,
     () => {
       for (const target of outgoing.values()) checkLink(target);
     },
@@ -189,31 +185,31 @@
   return {
     maintainLink(member) {
       if (member.name === self.name) return;
-      const known = outgoing.get(member.name);
-      if (known?.member.address === member.address) {
-        hurry(known);
+      const existing = outgoing.get(member.name);
+      if (existing?.member.address === member.address) {
+        dialNow(existing);
         return;
       }
-      if (known !== undefined) drop(known);
-      const target: Outgoing = {
+      if (existing !== undefined) abandon(existing);
+      const target: OutgoingLink = {
         member,
         link: undefined,
-        retry: undefined,
+        retryTimer: undefined,
         attempts: 0,
-        heardAt: timers.now(),
-        isKept: true,
+        lastMessageAt: timers.now(),
+        isWanted: true,
       };
       outgoing.set(member.name, target);
       dial(target);
     },
     send(name, message) {
       const link = outgoing.get(name)?.link;
-      if (link === undefined || link.pending > pendingLimit) return;
+      if (link === undefined || link.pending > maxPendingBytes) return;
       link.send(message);
     },
-    announce(concerns = () => true) {
+    announce(isRecipient = () => true) {
       for (const {member, link} of outgoing.values()) {
-        if (concerns(member.name)) link?.send(options.hello());
+        if (isRecipient(member.name)) link?.send(options.hello());
       }
     },
     get bytesOut() {
@@ -223,8 +219,8 @@
     },
     async stop() {
       isStopped = true;
-      checking.cancel();
-      for (const target of outgoing.values()) drop(target);
+      linkChecks.cancel();
+      for (const target of outgoing.values()) abandon(target);
       for (const link of accepted) link.close();
       await listener.close();
     },
--- a/src/consensus/pending-reads.ts
+++ b/src/consensus/pending-reads.ts
@@ -3,14 +3,14 @@
 import type {Timers} from '../time/timers.js';
 import {consensusCodes} from './codes.js';
 
-/** Read barriers that callers of this process wait for. */
+/** Read barriers that this process waits for. */
 export interface PendingReads {
   wait(): Promise<Result<number>>;
-  /** A barrier request ended; without an index it proved nothing. */
+  /** Called when a barrier request has ended; without an index it failed. */
   onBarrier(id: number, index: number | undefined): void;
-  /** Entries up to here are applied. */
+  /** Called when entries up to `index` are applied. */
   onApplied(index: number): void;
-  /** Sends a request again whose answer stays away, and ends old waiters. */
+  /** Resends a request that was not answered, and fails waiters that timed out. */
   tick(): void;
   refuse(result: Result<never>): void;
 }
@@ -26,45 +26,45 @@
   readonly waiters: Waiter[];
 }
 
-/** What the register of reads needs. */
+/** Options of createPendingReads; times in milliseconds. */
 export interface PendingReadsOptions {
   readonly timers: Timers;
-  /** Milliseconds after which a request is sent again. */
+  /** Time after which an unanswered request is sent again. */
   readonly resendAfter: number;
-  /** Milliseconds after which a waiter is told that there is no quorum. */
+  /** Time after which a waiter fails with `no-quorum`. */
   readonly timeout: number;
   readonly request: (id: number) => void;
   readonly appliedIndex: () => number;
 }
 
 /**
- * Creates the register of reads. One request is out at a time; callers that
- * come meanwhile share the next one.
+ * Creates the register of pending reads. One request is in flight at a time;
+ * reads that start in the meantime share the next one.
  */
 export function createPendingReads(options: PendingReadsOptions): PendingReads {
-  const {timers, resendAfter: retry, timeout, request, appliedIndex} = options;
+  const {timers, resendAfter, timeout, request, appliedIndex} = options;
   let waiting: Waiter[] = [];
-  let sent: Request | undefined;
-  let proved: Array<{index: number; waiters: Waiter[]}> = [];
+  let inFlight: Request | undefined;
+  let confirmed: Array<{index: number; waiters: Waiter[]}> = [];
   let nextId = 1;
 
-  function issue(): void {
-    if (sent !== undefined || waiting.length === 0) return;
-    sent = {id: nextId++, sentAt: timers.now(), waiters: waiting};
+  function sendNext(): void {
+    if (inFlight !== undefined || waiting.length === 0) return;
+    inFlight = {id: nextId++, sentAt: timers.now(), waiters: waiting};
     waiting = [];
-    request(sent.id);
+    request(inFlight.id);
   }
 
-  /** Puts the waiters of the request back; the next tick asks again. */
-  function recall(): void {
-    if (sent === undefined) return;
-    waiting = [...sent.waiters, ...waiting];
-    sent = undefined;
+  /** Returns the waiters of the request to the queue; the next tick sends it again. */
+  function requeue(): void {
+    if (inFlight === undefined) return;
+    waiting = [...inFlight.waiters, ...waiting];
+    inFlight = undefined;
   }
 
-  function settleProved(applied: number): void {
-    const ready = proved.filter(({index}) => index <= applied);
-    proved = proved.filter(({index}) => index > applied);
+  function settleApplied(applied: number): void {
+    const ready = confirmed.filter(({index}) => index <= applied);
+    confirmed = confirmed.filter(({index}) => index > applied);
     for (const {waiters} of ready) {
       for (const {settle} of waiters) settle(success(applied));
     }
@@ -88,32 +88,36 @@
     wait() {
       return new Promise(settle => {
         waiting.push({since: timers.now(), settle});
-        issue();
+        sendNext();
       });
     },
     onBarrier(id, index) {
-      if (sent?.id !== id) return;
+      if (inFlight?.id !== id) return;
       if (index === undefined) {
-        recall();
+        requeue();
         return;
       }
-      proved.push({index, waiters: sent.waiters});
-      sent = undefined;
-      settleProved(appliedIndex());
-      issue();
+      confirmed.push({index, waiters: inFlight.waiters});
+      inFlight = undefined;
+      settleApplied(appliedIndex());
+      sendNext();
     },
-    onApplied: settleProved,
+    onApplied: settleApplied,
     tick() {
-      if (sent !== undefined && timers.now() - sent.sentAt >= retry) recall();
-      if (sent !== undefined) return;
+      if (
+        inFlight !== undefined &&
+        timers.now() - inFlight.sentAt >= resendAfter
+      )
+        requeue();
+      if (inFlight !== undefined) return;
       expire();
-      issue();
+      sendNext();
     },
     refuse(result) {
-      recall();
-      const all = [...waiting, ...proved.flatMap(({waiters}) => waiters)];
+      requeue();
+      const all = [...waiting, ...confirmed.flatMap(({waiters}) => waiters)];
       waiting = [];
-      proved = [];
+      confirmed = [];
       for (const {settle} of all) settle(result);
     },
   };
--- a/src/consensus/proposals.ts
+++ b/src/consensus/proposals.ts
@@ -4,45 +4,45 @@
 import type {Action} from './core-state.js';
 import type {Proposal} from './core.js';
 
-/** Changes on their way, from the call until their answer. */
+/** Changes between the call of `propose` and its result. */
 export interface Proposals {
-  /** How many wait for their answer. */
+  /** Number of changes that wait for their result. */
   readonly count: number;
-  /** Bytes of the changes that wait. */
+  /** Total size of these changes in bytes. */
   readonly bytes: number;
-  /** Registers a change; it leaves with the next `take`. */
+  /** Registers a change; the next `take` returns it. */
   add(data: Uint8Array): Promise<Result<Uint8Array>>;
-  /** The changes that were added since the last call. */
+  /** Returns the changes that were added since the last call. */
   take(): Proposal[];
   onProposed(action: Action & {kind: 'proposed'}): void;
   onApplied(index: number, answer: Uint8Array): void;
-  /** The entries up to here were taken over whole, without their answers. */
+  /** A snapshot replaced the entries up to `index`, so their results are unknown. */
   onRestored(index: number): void;
-  /** Ends those not yet handed over: they never ran. */
+  /** Fails the changes that `take` has not returned; they were never proposed. */
   refuse(result: Result<never>): void;
-  /** Ends all: those handed over may or may not be kept. */
+  /** Fails all changes as unknown: those already proposed may still be committed. */
   abandon(): void;
 }
 
 type Settle = (result: Result<Uint8Array>) => void;
 
-/** Creates the register of open changes. */
+/** Creates the register of pending changes. */
 export function createProposals(): Proposals {
-  const added = new Map<number, {data: Uint8Array; settle: Settle}>();
-  const handed = new Map<number, Settle>();
-  const placed = new Map<number, Settle>();
+  const queued = new Map<number, {data: Uint8Array; settle: Settle}>();
+  const submitted = new Map<number, Settle>();
+  const appended = new Map<number, Settle>();
   let nextId = 1;
   let bytes = 0;
 
-  const unknown = () =>
+  const outcomeUnknown = () =>
     failure(
       consensusCodes.outcomeUnknown,
-      'leadership ended before the change was known to be kept; resend the same command',
+      'leadership ended before the change was known to be committed; resend the same command',
     );
 
   return {
     get count() {
-      return added.size + handed.size + placed.size;
+      return queued.size + submitted.size + appended.size;
     },
     get bytes() {
       return bytes;
@@ -54,46 +54,46 @@
           bytes -= data.length;
           resolve(result);
         };
-        added.set(nextId++, {data, settle});
+        queued.set(nextId++, {data, settle});
       });
     },
     take() {
       const proposals: Proposal[] = [];
-      for (const [id, {data, settle}] of added) {
+      for (const [id, {data, settle}] of queued) {
         proposals.push({id, data});
-        handed.set(id, settle);
+        submitted.set(id, settle);
       }
-      added.clear();
+      queued.clear();
       return proposals;
     },
     onProposed({id, index}) {
-      const settle = handed.get(id)!;
-      handed.delete(id);
-      placed.set(index, settle);
+      const settle = submitted.get(id)!;
+      submitted.delete(id);
+      appended.set(index, settle);
     },
     onApplied(index, answer) {
-      const settle = placed.get(index);
-      placed.delete(index);
+      const settle = appended.get(index);
+      appended.delete(index);
       settle?.(success(answer));
     },
     onRestored(index) {
-      for (const [at, settle] of placed) {
-        if (at > index) continue;
-        placed.delete(at);
-        settle(unknown());
+      for (const [entryIndex, settle] of appended) {
+        if (entryIndex > index) continue;
+        appended.delete(entryIndex);
+        settle(outcomeUnknown());
       }
     },
     refuse(result) {
-      for (const {settle} of added.values()) settle(result);
-      added.clear();
+      for (const {settle} of queued.values()) settle(result);
+      queued.clear();
     },
     abandon() {
-      for (const {settle} of added.values()) settle(unknown());
-      for (const settle of handed.values()) settle(unknown());
-      for (const settle of placed.values()) settle(unknown());
-      added.clear();
-      handed.clear();
-      placed.clear();
+      for (const {settle} of queued.values()) settle(outcomeUnknown());
+      for (const settle of submitted.values()) settle(outcomeUnknown());
+      for (const settle of appended.values()) settle(outcomeUnknown());
+      queued.clear();
+      submitted.clear();
+      appended.clear();
     },
   };
 }
--- a/src/consensus/read-barriers.ts
+++ b/src/consensus/read-barriers.ts
@@ -3,57 +3,59 @@
 import type {CoreState} from './core-state.js';
 import type {Replication} from './replication.js';
 
-/** Read barriers: an index that no accepted change lies beyond. */
+/** Read barriers: each yields an index that covers every change accepted before it. */
 export interface ReadBarriers {
-  /** Asks for one on behalf of this process. */
+  /** Requests a barrier for this process. */
   request(id: number): void;
   onRequest(from: Peer, message: BarrierRequest): void;
   onAnswer(message: BarrierAnswer): void;
-  /** Answers what a finished round has proved; called after each event. */
+  /** Answers the requests of a confirmed round; called after each event. */
   advance(): void;
-  /** Ends what waits, after leadership was lost. */
+  /** Fails all waiting requests after leadership was lost. */
   abandon(): void;
 }
 
 interface Waiter {
   readonly id: number;
-  /** Name of the asking member; absent for this process. */
-  readonly origin?: string;
+  /** Name of the member that sent the request; absent for this process. */
+  readonly requester?: string;
   readonly index: number;
 }
 
 /**
- * Creates the barriers. A round begun before a request proves nothing for it:
- * its answers may have left before another leader accepted a change. So a
- * request waits for the next round, which all that came meanwhile share.
+ * Creates the read barriers. A round that began before a request proves nothing
+ * for it, because its answers may have been sent before another leader accepted a
+ * change. A request therefore waits for the next round, which it shares with all
+ * requests that arrived in the meantime.
  */
 export function createReadBarriers(
   state: CoreState,
   replication: Replication,
 ): ReadBarriers {
   let waiting: Waiter[] = [];
-  let running: Waiter[] = [];
+  let inRound: Waiter[] = [];
   let round: number | undefined;
 
   function answer(waiter: Waiter, index: number | undefined): void {
-    const {id, origin} = waiter;
-    if (origin === undefined) state.actions.push({kind: 'barrier', id, index});
-    else send(state, origin, {kind: 'barrier-answer', id, index});
+    const {id, requester} = waiter;
+    if (requester === undefined)
+      state.actions.push({kind: 'barrier', id, index});
+    else send(state, requester, {kind: 'barrier-answer', id, index});
   }
 
-  function add(id: number, origin?: string): void {
-    waiting.push({id, origin, index: state.commitIndex});
+  function add(id: number, requester?: string): void {
+    waiting.push({id, requester, index: state.commitIndex});
   }
 
-  /** Before its first commit a leader does not know what was committed. */
+  /** Before its first commit a leader does not know which entries are committed. */
   const isReady = () => state.commitIndex >= replication.termStartIndex;
 
   function begin(): void {
     if (waiting.length === 0 || !isReady()) return;
-    const least = replication.termStartIndex;
-    running = waiting.map(waiter => ({
+    const minIndex = replication.termStartIndex;
+    inRound = waiting.map(waiter => ({
       ...waiter,
-      index: Math.max(waiter.index, least),
+      index: Math.max(waiter.index, minIndex),
     }));
     waiting = [];
     round = replication.beginRound();
@@ -62,8 +64,8 @@
   function finish(): boolean {
     if (round === undefined || !replication.isRoundConfirmed(round))
       return false;
-    for (const waiter of running) answer(waiter, waiter.index);
-    running = [];
+    for (const waiter of inRound) answer(waiter, waiter.index);
+    inRound = [];
     round = undefined;
     return true;
   }
@@ -92,12 +94,12 @@
       finish();
       if (round !== undefined) return;
       begin();
-      // A group of one has its majority at once.
+      // In a group of one member the round is confirmed at once.
       finish();
     },
     abandon() {
-      for (const waiter of [...running, ...waiting]) answer(waiter, undefined);
-      running = [];
+      for (const waiter of [...inRound, ...waiting]) answer(waiter, undefined);
+      inRound = [];
       waiting = [];
       round = undefined;
     },
--- a/src/consensus/replacements.ts
+++ b/src/consensus/replacements.ts
@@ -5,11 +5,11 @@
 import {isReplaced} from './core.js';
 import type {ReplaceAnswer} from './membership.js';
 
-/** Callers that wait for a replacement of a member. */
+/** Calls that wait until the replacement of a member is complete. */
 export interface Replacements {
-  /** Resolves when the replacement is complete or can't be any more. */
+  /** Resolves when the replacement is complete or was cancelled. */
   wait(leaving: string, joining: string): Promise<Result<void>>;
-  /** Looks again; called after each commit and loss of leadership. */
+  /** Checks the waiting calls; to be called after each commit and loss of leadership. */
   check(): void;
 }
 
@@ -38,13 +38,13 @@
     if (!isLeading()) {
       return failure(
         consensusCodes.outcomeUnknown,
-        'leadership ended during the replacement; the next leader goes on with it, see the status',
+        'leadership ended during the replacement; the next leader continues it, see the status',
       );
     }
     if (!isAbandoned(joining)) return undefined;
     return failure(
       consensusCodes.memberUnreachable,
-      `${joining} stayed silent and was dropped; start it and replace again`,
+      `${joining} did not answer and was removed; start it and replace again`,
     );
   }
 
