--- a/src/consensus/fakes/fake-consensus.ts
+++ b/src/consensus/fakes/fake-consensus.ts
@@ -3,31 +3,34 @@
 import {consensusCodes} from '../codes.js';
 import type {Consensus, Member, StateMachine, Status} from '../consensus.js';
 
-/** What becomes of the next proposal. */
+/** The outcome of a proposal; `commit-and-lose` and `lose` return no result. */
 export type ProposalOutcome = 'answer' | 'commit-and-lose' | 'lose';
 
-/** A control group in memory that commits at once and fails as told. */
+/** A control group in memory that commits at once and fails as the test plans. */
 export interface FakeGroup<M extends StateMachine> {
   member(name: string): Consensus;
   machine(name: string): M;
-  /** Makes `name` the leader, or nobody. */
+  /** Makes `name` the leader; undefined for no leader. */
   lead(name: string | undefined): void;
-  /** Decides the next proposals, one each; then all are answered. */
-  planOutcomes(...fates: ProposalOutcome[]): void;
-  /** Gives the member a fresh machine: a snapshot at `index`, then the tail. */
+  /** Sets the outcomes of the next proposals; later ones are answered. */
+  planOutcomes(...outcomes: ProposalOutcome[]): void;
+  /**
+   * Gives the member a new machine, restored from a snapshot at `index` and the
+   * entries after it.
+   */
   restart(name: string, index?: number): void;
   /** The entries committed so far. */
   entries(): readonly Uint8Array[];
 }
 
-/** Creates a group whose members apply each entry with machines of their own. */
+/** Creates a group whose members each apply the entries to their own machine. */
 export function createFakeGroup<M extends StateMachine>(
   names: readonly string[],
   createMachine: () => M,
 ): FakeGroup<M> {
   const machines = new Map(names.map(name => [name, createMachine()]));
   const log: Uint8Array[] = [];
-  const fates: ProposalOutcome[] = [];
+  const outcomes: ProposalOutcome[] = [];
   const observers = new Set<(index: number) => void>();
   let voters = names.map(toMember);
   let leader: string | undefined = names[0];
@@ -36,8 +39,8 @@
     log.push(entry);
     let answer = new Uint8Array();
     for (const [name, machine] of machines) {
-      const given = machine.apply(log.length, entry);
-      if (name === proposer) answer = new Uint8Array(given);
+      const result = machine.apply(log.length, entry);
+      if (name === proposer) answer = new Uint8Array(result);
     }
     for (const observe of observers) observe(log.length);
     return answer;
@@ -48,12 +51,12 @@
     entry: Uint8Array,
   ): Promise<Result<Uint8Array>> {
     if (name !== leader)
-      return failure(consensusCodes.notLeader, `${leader} leads`);
-    const fate = fates.shift() ?? 'answer';
-    if (fate === 'lose')
+      return failure(consensusCodes.notLeader, `the leader is ${leader}`);
+    const outcome = outcomes.shift() ?? 'answer';
+    if (outcome === 'lose')
       return failure(consensusCodes.outcomeUnknown, 'leadership ended');
     const answer = commit(entry, name);
-    if (fate === 'answer') return success(answer);
+    if (outcome === 'answer') return success(answer);
     return failure(consensusCodes.outcomeUnknown, 'leadership ended');
   }
 
@@ -89,13 +92,13 @@
       propose: entry => propose(name, entry),
       readBarrier: async () =>
         leader === undefined
-          ? failure(consensusCodes.notLeader, 'nobody leads')
+          ? failure(consensusCodes.notLeader, 'there is no leader')
           : success(log.length),
       status: () => status(name),
       replace: async (leaving, joining) => {
         if (name !== leader)
-          return failure(consensusCodes.notLeader, `${leader} leads`);
-        voters = voters.map(each => (each.name === leaving ? joining : each));
+          return failure(consensusCodes.notLeader, `the leader is ${leader}`);
+        voters = voters.map(item => (item.name === leaving ? joining : item));
         return success(undefined);
       },
       onApplied: observe => void observers.add(observe),
@@ -109,7 +112,7 @@
     member,
     machine: name => machines.get(name)!,
     lead: name => void (leader = name),
-    planOutcomes: (...next) => void fates.push(...next),
+    planOutcomes: (...next) => void outcomes.push(...next),
     restart,
     entries: () => log,
   };
--- a/src/consensus/fakes/freezable.ts
+++ b/src/consensus/fakes/freezable.ts
@@ -4,33 +4,33 @@
 import {Timers} from '../../time/timers.js';
 import type {Subscription} from '../../time/timers.js';
 
-/** A process's view of time that can stand still for this process alone. */
+/** The timers of one process, which can be frozen without affecting others. */
 export abstract class FreezableTimers extends Timers {
-  /** Runs a task now, or when the process goes on. */
+  /** Runs a task now, or if the process is frozen, once it is thawed. */
   abstract whenThawed(task: () => void): void;
   abstract freeze(): void;
   abstract thaw(): void;
 }
 
-/** Creates a freezable view of `timers`. */
+/** Creates freezable timers on top of `timers`. */
 export function createFreezableTimers(timers: Timers): FreezableTimers {
-  let held: Array<() => void> | undefined;
+  let heldTasks: Array<() => void> | undefined;
 
-  const whenAwake = (task: () => void) => {
-    if (held === undefined) task();
-    else held.push(task);
+  const whenThawed = (task: () => void) => {
+    if (heldTasks === undefined) task();
+    else heldTasks.push(task);
   };
 
   return new (class extends FreezableTimers {
-    whenThawed = whenAwake;
+    whenThawed = whenThawed;
 
     freeze(): void {
-      held ??= [];
+      heldTasks ??= [];
     }
 
     thaw(): void {
-      const tasks = held ?? [];
-      held = undefined;
+      const tasks = heldTasks ?? [];
+      heldTasks = undefined;
       for (const task of tasks) task();
     }
 
@@ -43,17 +43,17 @@
     }
 
     after(delay: number, task: () => void): Subscription {
-      return timers.after(delay, () => whenAwake(task));
+      return timers.after(delay, () => whenThawed(task));
     }
 
     every(period: number, task: () => void): Subscription {
-      let isHeld = false;
-      // An interval that fell due many times while frozen fires once.
+      let isPending = false;
+      // An interval that elapsed several times while frozen fires once.
       return timers.every(period, () => {
-        if (isHeld) return;
-        isHeld = true;
-        whenAwake(() => {
-          isHeld = false;
+        if (isPending) return;
+        isPending = true;
+        whenThawed(() => {
+          isPending = false;
           task();
         });
       });
@@ -61,7 +61,7 @@
   })();
 }
 
-/** Creates a view of a network whose messages wait while the process is frozen. */
+/** Creates a network whose messages are held back while the process is frozen. */
 export function createFreezableNetwork(
   network: Network,
   clock: FreezableTimers,
--- a/src/consensus/fakes/group.ts
+++ b/src/consensus/fakes/group.ts
@@ -16,14 +16,14 @@
 import type {FreezableTimers} from './freezable.js';
 import type {ConsensusOptions} from '../create-consensus.js';
 
-/** A state machine that keeps every entry. */
+/** A state machine that records every entry. */
 export interface Journal extends StateMachine {
   readonly entries: ReadonlyArray<{index: number; text: string}>;
-  /** Hash over all that was applied, in order. */
+  /** Hash of all applied entries in order. */
   digest(): string;
 }
 
-/** Creates the state machine of a test. */
+/** Creates a journal. */
 export function createJournal(): Journal {
   let entries: Array<{index: number; text: string}> = [];
   return new (class extends StateMachine {
@@ -51,14 +51,14 @@
   })();
 }
 
-/** One member of a group under test, across its lives. */
+/** One member of a group under test, across its restarts. */
 export interface TestMember {
   readonly member: Member;
   disk: FakeDisk;
   consensus: Consensus | undefined;
   journal: Journal;
   failure: Failure | undefined;
-  /** Its own view of the timer service. */
+  /** The member's own freezable timers. */
   clock: FreezableTimers;
 }
 
@@ -68,39 +68,42 @@
   readonly network: FakeNetwork;
   member(name: string): TestMember;
   readonly names: readonly string[];
-  /** Starts a life of a member, with settings of its own where given. */
-  start(name: string, own?: Partial<ConsensusOptions>): Promise<void>;
-  /** Ends a life at once; unsynced bytes are lost, with `random` some stay. */
+  /** Starts a member; `overrides` replace the options of the group. */
+  start(name: string, overrides?: Partial<ConsensusOptions>): Promise<void>;
+  /**
+   * Kills a member. Unsynced bytes are lost; with `random`, a random part of them
+   * is kept.
+   */
   kill(name: string, random?: Random): void;
-  /** Ends a life in order. */
+  /** Stops a member in an orderly way. */
   stop(name: string): Promise<void>;
   /** Adds a member that is not among the founders. */
   add(name: string): void;
-  /** Lets time pass. */
+  /** Advances the time by `duration` milliseconds. */
   run(duration: number): Promise<void>;
-  /** Runs until `done`, or throws after `limit` milliseconds. */
+  /** Advances the time until `done`, or throws after `limit` milliseconds. */
   until(done: () => boolean, limit?: number): Promise<void>;
-  /** The name of the one leader, when there is just one. */
+  /** The name of the leader, or undefined unless there is exactly one. */
   leader(): string | undefined;
-  /** Runs until there is a leader and names it. */
+  /** Advances the time until there is a leader and returns its name. */
   elect(): Promise<string>;
-  /** Has a member accept an entry and runs until it answered. */
+  /** Proposes an entry to a member and advances the time until it has answered. */
   propose(name: string, text: string): Promise<Result<Uint8Array>>;
-  /** Runs until a promise has settled. */
+  /** Advances the time until a promise has settled. */
   settled<T>(promise: Promise<T>): Promise<T>;
-  /** Attaches a disk to a member that does not run. */
+  /** Attaches a disk to a member that is not running. */
   useDisk(name: string, disk: FakeDisk): void;
-  /** Attaches each one's disk to the other. */
+  /** Swaps the disks of two members. */
   swapDisks(left: string, right: string): void;
-  /** Stops a process as SIGSTOP does: time and messages wait for it. */
+  /** Freezes a process as SIGSTOP does: its timers and messages are held back. */
   freeze(name: string): void;
-  /** Lets a frozen process go on; what fell due meanwhile comes at once. */
+  /** Continues a frozen process; timers and messages held back run at once. */
   thaw(name: string): void;
-  /** Cuts all messages between `name` and the others, both ways. */
+  /** Cuts all messages between `name` and the others in both directions. */
   isolate(name: string): void;
 }
 
-/** How a test group differs from the usual. */
+/** Options of createTestGroup, on top of those of its members. */
 export interface TestGroupOptions extends Partial<ConsensusOptions> {
   readonly seed?: number;
   readonly diskOptions?: FakeDiskOptions;
@@ -109,7 +112,7 @@
 const electionTimeout = 500;
 const heartbeat = 50;
 
-/** Creates a group of `size` members named a, b, c and so on; starts none. */
+/** Creates a group of `size` members named a, b, c and so on, without starting them. */
 export function createTestGroup(
   size: number,
   options: TestGroupOptions = {},
@@ -143,41 +146,41 @@
 
   async function start(
     name: string,
-    own: Partial<ConsensusOptions> = {},
+    overrides: Partial<ConsensusOptions> = {},
   ): Promise<void> {
-    const one = all.get(name)!;
-    one.journal = createJournal();
-    one.failure = undefined;
-    const {clock} = one;
+    const testMember = all.get(name)!;
+    testMember.journal = createJournal();
+    testMember.failure = undefined;
+    const {clock} = testMember;
     const starting = createConsensus({
-      self: one.member,
+      self: testMember.member,
       members: founders,
-      disk: one.disk.open(),
+      disk: testMember.disk.open(),
       network: createFreezableNetwork(network.from(name), clock),
       timers: clock,
       random: createRandom(random.integer(1_000_000)),
       log: createSilentLog(),
-      machine: one.journal,
+      machine: testMember.journal,
       heartbeat,
       electionTimeout,
       snapshotEntries: 1000,
       onFailure(failure) {
-        if (one.clock === clock) one.failure = failure;
+        if (testMember.clock === clock) testMember.failure = failure;
       },
       ...options,
-      ...own,
+      ...overrides,
     });
-    one.consensus = await settled(starting);
+    testMember.consensus = await settled(starting);
   }
 
-  function kill(name: string, crash?: Random): void {
-    const one = all.get(name)!;
-    // Whatever this life still had to do, it never does.
-    one.clock.freeze();
-    one.clock = createFreezableTimers(timers);
+  function kill(name: string, crashRandom?: Random): void {
+    const testMember = all.get(name)!;
+    // Timers and messages that are still pending in the killed process never run.
+    testMember.clock.freeze();
+    testMember.clock = createFreezableTimers(timers);
     network.kill(name);
-    one.disk.crash(crash);
-    one.consensus = undefined;
+    testMember.disk.crash(crashRandom);
+    testMember.consensus = undefined;
   }
 
   function leader(): string | undefined {
@@ -191,7 +194,8 @@
     const end = timers.now() + limit;
     await settle();
     while (!done()) {
-      if (timers.now() >= end) throw new Error('it did not come to pass');
+      if (timers.now() >= end)
+        throw new Error('the condition was not met in time');
       await timers.advanceAsync(10);
     }
   }
@@ -214,9 +218,9 @@
     start,
     kill,
     async stop(name) {
-      const one = all.get(name)!;
-      const {consensus} = one;
-      one.consensus = undefined;
+      const testMember = all.get(name)!;
+      const {consensus} = testMember;
+      testMember.consensus = undefined;
       await settled(consensus!.stop());
     },
     add,
@@ -232,8 +236,8 @@
     settled,
     useDisk: (name, disk) => void (all.get(name)!.disk = disk),
     swapDisks(left, right) {
-      const [one, other] = [all.get(left)!, all.get(right)!];
-      [one.disk, other.disk] = [other.disk, one.disk];
+      const [first, second] = [all.get(left)!, all.get(right)!];
+      [first.disk, second.disk] = [second.disk, first.disk];
     },
     freeze: name => all.get(name)!.clock.freeze(),
     thaw: name => all.get(name)!.clock.thaw(),
--- a/src/disk/fakes/fake-disk.ts
+++ b/src/disk/fakes/fake-disk.ts
@@ -2,43 +2,44 @@
 import type {Timers} from '../../time/timers.js';
 import {Appender, Disk} from '../disk.js';
 
-/** How the fake disk behaves. */
+/** Options of createFakeDisk. */
 export interface FakeDiskOptions {
-  /** With a time, each sync and replacement takes that many milliseconds. */
+  /** Timers for `syncTime`. */
   readonly timers?: Timers;
+  /** Duration of each sync and replacement in milliseconds; default 0. */
   readonly syncTime?: number;
-  /** Whether a replacement is all or nothing, as the real one is. */
+  /** Whether replacements are atomic, as on a real disk; default true. */
   readonly atomicReplace?: boolean;
 }
 
-/** A data folder in memory that fails where the test says. */
+/** A data folder in memory whose failures a test controls. */
 export interface FakeDisk {
-  /** The folder as one life of a process sees it; ends the life before. */
+  /** Opens the folder for a new incarnation of a process; the previous one ends. */
   open(): Disk;
   /**
-   * Ends the process's life and loses what was not synced. With `random`, a
-   * random part of the unsynced bytes stays, often torn inside a record.
+   * Ends the present incarnation and discards unsynced bytes. With `random`, a
+   * random part of them is kept, which often ends inside a record.
    */
   crash(random?: Random): void;
-  /** Flips one bit of a durable byte; a negative offset counts from the end. */
+  /** Flips one bit of the byte at `offset`; a negative offset counts from the end. */
   flipBit(name: string, offset: number): void;
-  /** Empties the folder, as a replaced disk is. */
+  /** Empties the folder, as if the disk had been replaced. */
   wipe(): void;
-  /** Fails the next sync; as in a kernel, its bytes are then gone for good. */
+  /** Fails the next sync; its bytes are then lost permanently, as in a kernel. */
   failNextSync(): void;
-  /** Refuses to hold more than `bytes` in all. */
+  /** Limits the total size of all files. */
   limit(bytes: number): void;
-  /** Breaks the next replacement of a file off in the middle. */
+  /** Interrupts the next replacement of a file after half of its content. */
   interruptReplace(name: string): void;
-  /** Size of a file in bytes, durable or not. */
+  /** Size of a file in bytes, including unsynced ones. */
   size(name: string): number;
-  /** Syncs so far. */
+  /** Number of syncs since the start. */
   readonly syncs: number;
 }
 
 interface Chunk {
   readonly bytes: Buffer;
-  /** Dropped by a failed sync: a later one calls it durable all the same. */
+  /** Lost in a failed sync; a later sync still reports it as durable. */
   isLost: boolean;
 }
 
@@ -51,7 +52,7 @@
 export function createFakeDisk(options: FakeDiskOptions = {}): FakeDisk {
   const {timers, syncTime = 0, atomicReplace = true} = options;
   let files = new Map<string, File>();
-  let life = 0;
+  let incarnation = 0;
   let syncs = 0;
   let isSyncFailing = false;
   let byteLimit = Infinity;
@@ -60,36 +61,36 @@
   const contentOf = (file: File) =>
     Buffer.concat([file.durable, ...file.pending.map(({bytes}) => bytes)]);
 
-  function total(): number {
+  function totalBytes(): number {
     let sum = 0;
     for (const file of files.values()) sum += contentOf(file).length;
     return sum;
   }
 
-  function errorOf(code: string): Error {
+  function createError(code: string): Error {
     return Object.assign(new Error(code), {code});
   }
 
-  function check(mine: number, added: number): void {
-    if (mine !== life) throw errorOf('EDEAD');
-    if (total() + added > byteLimit) throw errorOf('ENOSPC');
+  function checkWrite(ownIncarnation: number, added: number): void {
+    if (ownIncarnation !== incarnation) throw createError('EDEAD');
+    if (totalBytes() + added > byteLimit) throw createError('ENOSPC');
   }
 
-  async function flush(mine: number, file: File): Promise<void> {
+  async function flush(ownIncarnation: number, file: File): Promise<void> {
     if (timers !== undefined && syncTime > 0) {
       await new Promise<void>(done => timers.after(syncTime, done));
     }
-    check(mine, 0);
+    checkWrite(ownIncarnation, 0);
     syncs++;
     if (isSyncFailing) {
       isSyncFailing = false;
       for (const chunk of file.pending) chunk.isLost = true;
-      throw errorOf('EIO');
+      throw createError('EIO');
     }
-    const settled = file.pending.map(({bytes, isLost}) =>
+    const written = file.pending.map(({bytes, isLost}) =>
       isLost ? Buffer.alloc(bytes.length) : bytes,
     );
-    file.durable = Buffer.concat([file.durable, ...settled]);
+    file.durable = Buffer.concat([file.durable, ...written]);
     file.pending = [];
   }
 
@@ -100,7 +101,7 @@
   }
 
   function openDisk(): Disk {
-    const mine = ++life;
+    const ownIncarnation = ++incarnation;
     return new (class extends Disk {
       async read(name: string): Promise<Buffer | undefined> {
         const file = files.get(name);
@@ -112,47 +113,47 @@
       }
 
       async open(name: string): Promise<Appender> {
-        check(mine, 0);
-        return createAppender(mine, fileOf(name));
+        checkWrite(ownIncarnation, 0);
+        return createAppender(ownIncarnation, fileOf(name));
       }
 
       async replace(name: string, content: Uint8Array): Promise<void> {
-        check(mine, content.length);
+        checkWrite(ownIncarnation, content.length);
         const target = atomicReplace ? `${name}.new` : name;
         const half = Buffer.from(content.subarray(0, content.length / 2));
         if (interrupted === name) {
           interrupted = undefined;
           files.set(target, {durable: half, pending: []});
-          throw errorOf('EIO');
+          throw createError('EIO');
         }
         const file = {
           durable: Buffer.alloc(0),
           pending: [{bytes: Buffer.from(content), isLost: false}],
         };
-        await flush(mine, file);
+        await flush(ownIncarnation, file);
         files.set(name, file);
       }
 
       async remove(name: string): Promise<void> {
-        check(mine, 0);
+        checkWrite(ownIncarnation, 0);
         files.delete(name);
       }
     })();
   }
 
-  function createAppender(mine: number, file: File): Appender {
+  function createAppender(ownIncarnation: number, file: File): Appender {
     return new (class extends Appender {
       async append(content: Uint8Array): Promise<void> {
-        check(mine, content.length);
+        checkWrite(ownIncarnation, content.length);
         file.pending.push({bytes: Buffer.from(content), isLost: false});
       }
 
       sync(): Promise<void> {
-        return flush(mine, file);
+        return flush(ownIncarnation, file);
       }
 
       async truncate(length: number): Promise<void> {
-        check(mine, 0);
+        checkWrite(ownIncarnation, 0);
         const content = contentOf(file).subarray(0, length);
         file.durable = Buffer.from(content);
         file.pending = [];
@@ -165,7 +166,7 @@
   return {
     open: openDisk,
     crash(random) {
-      life++;
+      incarnation++;
       for (const file of files.values()) {
         const unsynced = Buffer.concat(file.pending.map(({bytes}) => bytes));
         const kept = random?.integer(unsynced.length + 1) ?? 0;
@@ -185,7 +186,7 @@
       file.pending = [];
     },
     wipe() {
-      life++;
+      incarnation++;
       files = new Map();
     },
     failNextSync: () => void (isSyncFailing = true),
--- a/src/disk/folder-disk.test.ts
+++ b/src/disk/folder-disk.test.ts
@@ -11,9 +11,9 @@
   return join(root, 'data');
 }
 
-test('a replaced file is whole and an interrupted replacement is never read', async t => {
-  // The process dies after it wrote half of the next content: the name still
-  // stands for the old content, and the next replacement goes on from there.
+test('a replaced file is complete and an interrupted replacement is never read', async t => {
+  // The process dies after it wrote half of the new content. The old content must
+  // stay readable, and the next replacement must succeed.
   const folder = await makeFolder(t);
   const disk = await createFolderDisk(folder);
   await disk.replace('state', Buffer.from('old'));
@@ -24,7 +24,7 @@
   t.deepEqual(await disk.list(), ['state']);
 });
 
-test('appended bytes follow a cut, also after opening the file again', async t => {
+test('bytes are appended after a truncation, also when the file is reopened', async t => {
   const disk = await createFolderDisk(await makeFolder(t));
   const first = await disk.open('log');
   await first.append(Buffer.from('keep-torn'));
--- a/src/disk/folder-disk.ts
+++ b/src/disk/folder-disk.ts
@@ -3,7 +3,7 @@
 import {join} from 'node:path';
 import {Appender, Disk} from './disk.js';
 
-/** Creates the disk of a process on a folder, which is made when missing. */
+/** Creates a disk on a folder of the file system; creates the folder if missing. */
 export async function createFolderDisk(folder: string): Promise<Disk> {
   await mkdir(folder, {recursive: true});
   const pathOf = (name: string) => join(folder, name);
--- a/src/disk/record.test.ts
+++ b/src/disk/record.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
 import {encodeRecord, readRecord, searchRecords} from './record.js';
 
-test('a flipped bit anywhere in a record is seen', t => {
+test('a flipped bit anywhere in a record is detected', t => {
   const record = encodeRecord(Buffer.from('payload'));
   t.is(`${readRecord(record, 0)?.payload}`, 'payload');
   for (let bit = 0; bit < record.length * 8; bit++) {
@@ -11,14 +11,14 @@
   }
 });
 
-test('a record cut short is seen, at any length', t => {
+test('a truncated record is detected at any length', t => {
   const record = encodeRecord(Buffer.from('payload'));
   for (let length = 0; length < record.length; length++) {
     t.is(readRecord(record.subarray(0, length), 0), undefined);
   }
 });
 
-test('whole records are found behind damaged bytes', t => {
+test('intact records are found after damaged bytes', t => {
   const content = Buffer.concat([
     Buffer.from('damaged bytes'),
     encodeRecord(Buffer.from('one')),
