--- a/src/control/member-directory.test.ts
+++ b/src/control/member-directory.test.ts
@@ -13,7 +13,7 @@
 
 const founders = [1, 2, 3].map(founder);
 
-const old = (number: number): Member => ({
+const memberOf = (number: number): Member => ({
   name: `control-${number}`,
   address: `10.0.0.${number}:7000`,
   failureDomain: 'hall-a',
@@ -21,11 +21,16 @@
 
 function stage() {
   let voters: Member[] = [];
-  let told: Member[] = [];
+  let reported: Member[] = [];
   const observers: Array<() => void> = [];
   const directory = createMemberDirectory(
     {
-      status: () => ({voters, learners: [], told}) as unknown as Status,
+      status: () =>
+        ({
+          voters,
+          learners: [],
+          reportedMembers: reported,
+        }) as unknown as Status,
       onMembersChange: observe => void observers.push(observe),
     },
     founders,
@@ -37,43 +42,43 @@
   return {
     directory,
     changes: () => changes,
-    become(next: Member[]) {
+    setVoters(next: Member[]) {
       voters = next;
       for (const observe of observers) observe();
     },
-    tell(next: Member[]) {
-      told = next;
+    report(next: Member[]) {
+      reported = next;
       for (const observe of observers) observe();
     },
   };
 }
 
-test('before the group is formed the settings count', t => {
+test('before the group is formed the addresses come from the settings', t => {
   const {directory} = stage();
   t.deepEqual(
     directory.peerAddresses(),
-    founders.map(one => one.distributionAddress),
+    founders.map(member => member.distributionAddress),
   );
   t.is(directory.operatorAddress('control-2'), '10.0.0.2:7001');
   t.deepEqual(directory.homes(), []);
 });
 
-test('a member of a group formed by older code is known by settings', t => {
-  const {directory, become} = stage();
-  become([1, 2, 3].map(old));
+test('the addresses of a member that announced none come from the settings', t => {
+  const {directory, setVoters} = stage();
+  setVoters([1, 2, 3].map(memberOf));
   t.is(directory.operatorAddress('control-3'), '10.0.0.3:7001');
   t.is(directory.peerAddresses().length, 3);
 });
 
-test('a member that replaced another is known by what it told', t => {
-  const {directory, become, changes} = stage();
-  become([1, 2, 3].map(old));
+test('the addresses of a member that replaced another are those it announced', t => {
+  const {directory, setVoters, changes} = stage();
+  setVoters([1, 2, 3].map(memberOf));
   const joined = {
-    ...old(4),
+    ...memberOf(4),
     operatorAddress: '10.0.0.4:7001',
     distributionAddress: '10.0.0.4:7002',
   };
-  become([old(2), old(3), joined]);
+  setVoters([memberOf(2), memberOf(3), joined]);
   t.is(directory.operatorAddress('control-4'), '10.0.0.4:7001');
   const addresses = ['10.0.0.2:7002', '10.0.0.3:7002', '10.0.0.4:7002'];
   t.deepEqual(directory.peerAddresses(), addresses);
@@ -84,38 +89,39 @@
   t.is(changes(), 2);
 });
 
-test('what a member tells of itself goes before the settings', t => {
-  const {directory, become} = stage();
-  become([{...old(1), operatorAddress: '10.0.0.9:7001'}]);
+test('announced addresses take precedence over the settings', t => {
+  const {directory, setVoters} = stage();
+  setVoters([{...memberOf(1), operatorAddress: '10.0.0.9:7001'}]);
   t.is(directory.operatorAddress('control-1'), '10.0.0.9:7001');
 });
 
-test('news without a change are not passed on', t => {
-  const {directory, become, changes} = stage();
-  become([1, 2, 3].map(old));
+test('observers are not called when nothing has changed', t => {
+  const {directory, setVoters, changes} = stage();
+  setVoters([1, 2, 3].map(memberOf));
   const homes = directory.homes();
-  become([1, 2, 3].map(old));
+  setVoters([1, 2, 3].map(memberOf));
   t.is(changes(), 1);
   t.is(directory.homes(), homes);
 });
 
-// Four control processes run and three form the group. Operators that ask the
-// fourth were told that nobody is known, or kept waiting for a majority that it
-// is no part of; each such call cost them a second and more.
-test('a process outside the group names a member, a member names none', t => {
-  const {directory, become} = stage();
-  const addresses = founders.map(one => one.operatorAddress);
+// Four control processes run and three of them form the group. Without a redirect,
+// the fourth one answers operators that no leader is known or lets them wait for a
+// majority that it is not part of. Each such call takes a second or more.
+test('a process outside the group names a member, and a member names none', t => {
+  const {directory, setVoters} = stage();
+  const addresses = founders.map(member => member.operatorAddress);
   t.true(addresses.includes(directory.memberAddress()!));
-  become([old(2)]);
+  setVoters([memberOf(2)]);
   t.is(directory.memberAddress(), '10.0.0.2:7001');
-  become([old(2), {...old(9), name: 'control-9'}]);
+  setVoters([memberOf(2), {...memberOf(9), name: 'control-9'}]);
   t.is(directory.memberAddress(), undefined);
 });
 
-test('a process that is its only founder names nobody before it has formed', t => {
+test('a process that is the only founder names no member before the group is formed', t => {
   const directory = createMemberDirectory(
     {
-      status: () => ({voters: [], learners: [], told: []}) as unknown as Status,
+      status: () =>
+        ({voters: [], learners: [], reportedMembers: []}) as unknown as Status,
       onMembersChange: () => {},
     },
     [founder(1)],
@@ -125,25 +131,25 @@
   t.is(directory.memberAddress(), undefined);
 });
 
-// Nodes refuse all callers after a restart. The control VMs that settings name
-// were exchanged for others, which run beside the group and are no members: a
-// node went from one to the next, none of them could prove a configuration, and
-// none said who can.
-test('a process outside the group tells nodes and operators of its members', t => {
-  const {directory, tell, changes} = stage();
+// Nodes refuse all callers after a restart, because the control VMs listed in their
+// settings were replaced and now run processes that are not members of the group.
+// None of them can confirm a configuration, and without reported members none can
+// name a process that does.
+test('a process outside the group names its members to nodes and operators', t => {
+  const {directory, report, changes} = stage();
   const member = (number: number): Member => ({
-    ...old(number),
+    ...memberOf(number),
     operatorAddress: `10.0.0.${number}:7001`,
     distributionAddress: `10.0.0.${number}:7002`,
   });
-  tell([4, 5].map(member));
+  report([4, 5].map(member));
   t.deepEqual(
     directory.homes().map(({address}) => address),
     ['10.0.0.4:7002', '10.0.0.5:7002'],
   );
   t.deepEqual(
     directory.peerAddresses(),
-    founders.map(one => one.distributionAddress),
+    founders.map(member => member.distributionAddress),
   );
   t.true(/^10\.0\.0\.[45]:7001$/.test(directory.memberAddress() ?? ''));
   t.is(changes(), 1);
--- a/src/control/member-directory.ts
+++ b/src/control/member-directory.ts
@@ -1,6 +1,6 @@
 /**
- * Where the members of the control group are reached now. Settings name the
- * founders only; a member that replaced one has told the group by itself.
+ * The present addresses of the members of the control group. Settings list only
+ * the founders; a member that replaced one has announced its addresses itself.
  */
 import type {Consensus, Member} from '../consensus/consensus.js';
 import type {HomeAddress} from '../fleet/messages.js';
@@ -8,24 +8,25 @@
 import type {Random} from '../random/random.js';
 import type {ControlSettings} from '../settings/schema.js';
 
-/** The present members' addresses. */
+/** The addresses of the present members. */
 export interface MemberDirectory {
-  /** Where operators reach a member; undefined when nobody knows. */
+  /** The operator address of a member; undefined when it is not known. */
   operatorAddress(name: string): Address | undefined;
-  /** Where the other members take links, this one's address among them. */
+  /** The distribution addresses of all members, including this process's. */
   peerAddresses(): readonly Address[];
-  /** The voters as homes of nodes; the same array until they change. */
+  /** The voters as homes for nodes; the same array until they change. */
   homes(): readonly HomeAddress[];
   /**
-   * Where operators reach a member, for a process that is none: it can neither
-   * decide nor read, and a caller that it kept waiting would find that out late.
+   * The operator address of some member, or undefined when this process is one.
+   * A process that is not a member can neither accept changes nor read. It
+   * redirects operators to this address instead of letting them wait.
    */
   memberAddress(): Address | undefined;
   /** Calls `observe` after each change. */
   onChange(observe: () => void): void;
 }
 
-/** Creates the directory over a group; a group not formed yet has none. */
+/** Creates the directory. Until the group is formed it uses the founders. */
 export function createMemberDirectory(
   consensus: Pick<Consensus, 'status' | 'onMembersChange'>,
   founders: ControlSettings['members'],
@@ -35,7 +36,7 @@
   const founderOf = (name: string) =>
     founders.find(founder => founder.name === name);
   const observers: Array<() => void> = [];
-  let fellows = listFellows();
+  let peerAddresses = listPeerAddresses();
   let homes = listHomes();
 
   function distributionAddress(member: Member): Address | undefined {
@@ -45,18 +46,22 @@
   }
 
   /**
-   * The members: of the own log, or as they were told to a process that is none.
-   * Its own log may be empty or years old; nodes and operators whose settings
-   * name only such processes would go round them and never find a member.
+   * The members in this process's log or, at a process that is not a member, those
+   * that others reported. The log of such a process may be empty or very old.
+   * Nodes and operators whose settings list only such processes would otherwise
+   * try them in turn and never find a member.
    */
   function listMembers() {
-    const {voters, learners, reportedMembers: told} = consensus.status();
-    if (told.length > 0) return {voters: told, learners: []};
+    const {voters, learners, reportedMembers: reported} = consensus.status();
+    if (reported.length > 0) return {voters: reported, learners: []};
     return {voters, learners};
   }
 
-  /** Of the own log: links to a process outside would carry nobody's nodes. */
-  function listFellows(): Address[] {
+  /**
+   * Only the members in this process's log, since nodes do not attach to processes
+   * outside the group.
+   */
+  function listPeerAddresses(): Address[] {
     const {voters, learners} = consensus.status();
     if (voters.length === 0) {
       return founders.map(founder => founder.distributionAddress);
@@ -75,10 +80,10 @@
   }
 
   consensus.onMembersChange(() => {
-    const before = JSON.stringify([fellows, homes]);
-    const next = {fellows: listFellows(), homes: listHomes()};
-    if (JSON.stringify([next.fellows, next.homes]) === before) return;
-    ({fellows, homes} = next);
+    const before = JSON.stringify([peerAddresses, homes]);
+    const next = {peerAddresses: listPeerAddresses(), homes: listHomes()};
+    if (JSON.stringify([next.peerAddresses, next.homes]) === before) return;
+    ({peerAddresses, homes} = next);
     for (const observe of observers) observe();
   });
 
@@ -91,7 +96,7 @@
     return memberOf(name)?.operatorAddress ?? founderOf(name)?.operatorAddress;
   }
 
-  /** The members as far as this process knows, the founders if it knows none. */
+  /** Addresses of the known voters, or of the other founders if none is known. */
   function listOperatorAddresses(): Address[] {
     const {voters} = listMembers();
     if (voters.length === 0) {
@@ -113,7 +118,7 @@
   return {
     memberAddress,
     operatorAddress,
-    peerAddresses: () => fellows,
+    peerAddresses: () => peerAddresses,
     homes: () => homes,
     onChange: observe => void observers.push(observe),
   };
--- a/src/control/members.test.ts
+++ b/src/control/members.test.ts
@@ -14,16 +14,16 @@
 
 const revisionAddress = '10.2.0.39:8164';
 
-// Each change takes seconds until it is accepted, with all control VMs up. An
-// operator asks a member that does not lead, and is sent to the leader at the
-// address that the leader told: one on the leader's loopback, which leads the
-// operator to its own VM, where nobody listens.
-test('a member tells others no address on its loopback', t => {
+// Each change takes seconds until it is accepted although all control VMs are up.
+// A follower redirects the operator to the address that the leader announced. If
+// that is a loopback address, the operator connects to its own VM, where no control
+// process listens.
+test('a member announces no loopback address', t => {
   const self = resolveSelf({...settings, revisionAddress});
   t.is(self.operatorAddress, revisionAddress);
 });
 
-test('founders known by their seeds are asked at the same port', t => {
+test('founders that are known from seeds have the same port as this process', t => {
   const founders = resolveFounders({...settings, revisionAddress});
   t.deepEqual(
     founders.map(({operatorAddress}) => operatorAddress),
@@ -31,7 +31,7 @@
   );
 });
 
-test('a member without a listener for revisions tells where operators reach it', t => {
+test('a member without a revision listener announces its operator address', t => {
   t.is(resolveSelf(settings).operatorAddress, '127.0.0.1:7320');
   const operatorAddress = '10.2.0.39:7400';
   const self = resolveSelf({...settings, operatorAddress, revisionAddress});
