--- a/src/consensus/create-consensus.test.ts
+++ b/src/consensus/create-consensus.test.ts
@@ -3,7 +3,7 @@
 import {startTestGroup} from './fakes/group.js';
 import {protocolVersion} from './messages.js';
 
-test('a group of three elects one leader that all know', async t => {
+test('a group of three elects one leader that all members know', async t => {
   const group = await startTestGroup(3);
   const leader = group.leader()!;
   await group.run(200);
@@ -40,7 +40,7 @@
   t.true(result.message.includes(`the leader is ${leader}`));
 });
 
-test('accepted entries come back after all members were killed', async t => {
+test('accepted entries survive a kill of all members', async t => {
   const group = await startTestGroup(3);
   t.true((await group.propose(group.leader()!, 'kept')).ok);
   for (const name of group.names) group.kill(name);
@@ -54,7 +54,7 @@
   }
 });
 
-test('a read barrier on any member covers all that was accepted', async t => {
+test('a read barrier on any member covers all accepted entries', async t => {
   const group = await startTestGroup(3);
   const answer = await group.propose(group.leader()!, 'x');
   const index = Number(answer.ok && Buffer.from(answer.value).toString());
@@ -65,15 +65,15 @@
   }
 });
 
-test('a group of one accepts without any other member', async t => {
+test('a group of one member accepts changes alone', async t => {
   const group = await startTestGroup(1);
   t.true((await group.propose('a', 'x')).ok);
   const read = await group.settled(group.member('a').consensus!.readBarrier());
   t.true(read.ok);
 });
 
-test('a member that speaks another protocol version is not heard', async t => {
-  // Half of the VMs run a newer release whose messages mean something else.
+test('messages of a member with another protocol version are ignored', async t => {
+  // Half of the VMs run a newer release whose messages have another meaning.
   const group = await startTestGroup(3);
   const [first] = group.names;
   const {member, consensus} = group.member(first!);
@@ -94,7 +94,7 @@
       round: 0,
     });
     await group.run(20);
-    const isHeard = consensus!.status().term > before;
-    t.is(isHeard, protocol === protocolVersion);
+    const isAccepted = consensus!.status().term > before;
+    t.is(isAccepted, protocol === protocolVersion);
   }
 });
--- a/src/consensus/durability.test.ts
+++ b/src/consensus/durability.test.ts
@@ -9,7 +9,7 @@
 const textsOf = (group: TestGroup, name: string) =>
   group.member(name).journal.entries.map(({text}) => text);
 
-/** Has an entry accepted, kills all at that moment, and starts them again. */
+/** Has an entry accepted, kills all members at that moment, and restarts them. */
 async function acceptThenLosePower(options: TestGroupOptions) {
   const group = await startTestGroup(3, {
     ...options,
@@ -23,9 +23,9 @@
   return {accepted, texts: textsOf(group, leader)};
 }
 
-test('an accepted change survives a power cut of all VMs; answered before the sync it is gone', async t => {
-  // The operator gets "accepted", then all three VMs lose power at once. If the
-  // answer left before the disks had synced, the change is nowhere any more.
+test('an accepted change survives a power outage of all VMs; answered before the sync it is lost', async t => {
+  // The operator receives "accepted", then all three VMs lose power at once. If the
+  // answer was sent before the disks had synced, no disk holds the change.
   const safe = await acceptThenLosePower({});
   t.true(safe.accepted.ok);
   t.deepEqual(safe.texts, ['booked', 'later']);
@@ -37,7 +37,7 @@
   t.deepEqual(unsafe.texts, ['later']);
 });
 
-/** Fails the sync of one entry in a group of one, then starts it again. */
+/** Fails the sync of one entry in a group of one member, then restarts it. */
 async function failSync(options: TestGroupOptions) {
   const group = await startTestGroup(1, options);
   const one = group.member('a');
@@ -52,10 +52,10 @@
   return {group, result, failure, outcome};
 }
 
-test('a failed sync stops the member; taken for a passing trouble it breaks the promise', async t => {
-  // The kernel drops the bytes of a failed sync and calls the next sync a
-  // success. A member that goes on answers "accepted" for a change that is not
-  // on its disk; after the next crash the change is gone.
+test('a failed sync stops the member; if it continued, an accepted change could be lost', async t => {
+  // The kernel drops the bytes of a failed sync and reports the next sync as
+  // successful. A member that continues answers "accepted" for a change that is not
+  // on its disk, and the next crash loses the change.
   const safe = await failSync({});
   t.false(safe.result.ok);
   if (!safe.result.ok) t.is(safe.result.code, consensusCodes.outcomeUnknown);
@@ -71,7 +71,7 @@
   t.deepEqual(textsOf(unsafe.group, 'a'), []);
 });
 
-test('a full disk stops its member with a code of its own; the others go on', async t => {
+test('a full disk stops its member with its own result code; the others continue', async t => {
   const group = await startTestGroup(3);
   const leader = group.leader()!;
   const full = group.member(leader);
@@ -89,7 +89,7 @@
   t.deepEqual(textsOf(group, leader), textsOf(group, next));
 });
 
-test('a damaged file refuses to start with the code of that file', async t => {
+test('a member with a damaged file refuses to start with the result code of that file', async t => {
   const group = await startTestGroup(1, {snapshotEntries: 2});
   for (const text of ['1', '2', '3']) await group.propose('a', text);
   await group.run(200);
@@ -109,7 +109,7 @@
   await t.notThrowsAsync(group.start('a'));
 });
 
-test('changes that wait share one sync', async t => {
+test('waiting changes share one sync', async t => {
   const syncsFor = async (groupCommit: boolean) => {
     const diskOptions = {syncTime: 5};
     const group = await startTestGroup(3, {groupCommit, diskOptions});
@@ -128,7 +128,7 @@
   t.true((await syncsFor(false)) >= 100);
 });
 
-/** The term of a voter's first vote, sent and on disk, at the moment it left. */
+/** The terms that were sent and on disk when a voter's first vote was sent. */
 async function catchVote(syncVote: boolean) {
   const safeguards = {syncVote};
   const diskOptions = {syncTime: 30};
@@ -150,20 +150,20 @@
   return {sent, kept: identity!.term};
 }
 
-test('a vote leaves only after it is on disk', async t => {
-  // A voter grants its vote, dies and comes back. Did the vote leave before it
-  // was durable, the voter has forgotten it and votes for another candidate in
-  // the same term: two leaders at once.
+test('a vote is sent only after it is on disk', async t => {
+  // A voter grants its vote, dies and restarts. If the vote was sent before it was
+  // durable, the voter may vote for another candidate in the same term, and there
+  // would be two leaders.
   const safe = await catchVote(true);
   t.is(safe.kept, safe.sent);
   const unsafe = await catchVote(false);
   t.true(unsafe.kept < unsafe.sent);
 });
 
-// A process whose state was damaged answers with a text that nobody sent, and
-// hands it on as a snapshot. It is to end with a number instead, and the others
-// go on without it.
-test('a member whose machine can not follow ends, and the others go on', async t => {
+// A process whose state is damaged would answer with a text that no operator sent,
+// and would send it on in a snapshot. It must stop with a result code instead, and
+// the others must continue.
+test('a member whose state machine fails stops, and the others continue', async t => {
   const group = await startTestGroup(3);
   const leader = await group.elect();
   const damaged = group.names.find(name => name !== leader)!;
--- a/src/consensus/faults.test.ts
+++ b/src/consensus/faults.test.ts
@@ -7,11 +7,12 @@
 import {createTestGroup} from './fakes/group.js';
 import type {TestGroup} from './fakes/group.js';
 
-// Random faults, the same for the same seed: members die, alone or all at once,
-// and lose unsynced bytes, freeze, lose their disk, fail a sync; links are cut one way or both;
-// messages are dropped, doubled and crossed. Meanwhile changes are proposed and
-// a member is replaced. Whatever happens: one leader a term, all apply the same
-// entries in the same order, and what was accepted stays.
+// Injects random faults, which are the same for the same seed. Members are killed,
+// alone or all at once, and lose unsynced bytes; they freeze, lose their disk, or
+// fail a sync. Links are cut in one or both directions, and messages are dropped,
+// doubled and reordered. Meanwhile changes are proposed and members replaced. There
+// must be at most one leader per term, all members must apply the same entries in
+// the same order, and no accepted change may be lost.
 
 const steps = 150;
 const size = 3;
@@ -25,7 +26,7 @@
   readonly replaced: number;
 }
 
-/** Notes every leader and every applied entry, and what contradicts itself. */
+/** Records all leaders and applied entries, and reports contradictions. */
 function createWitness(group: TestGroup) {
   const violations: string[] = [];
   const leaders = new Map<number, string>();
@@ -91,7 +92,7 @@
     frozen.delete(name);
     const isStarted = await group.start(name).then(
       () => true,
-      // Its disk failed at once; it is started again later.
+      // The disk failed during the start; the member is started again later.
       (error: {code?: unknown}) => {
         if (error.code !== consensusCodes.syncFailed) throw error;
         return false;
@@ -100,7 +101,7 @@
     if (isStarted) witness.watch(name);
   }
 
-  /** Stops a member in order, as a planned restart does. */
+  /** Stops a member in an orderly way, as in a planned restart. */
   async function stop(name: string): Promise<void> {
     await group.stop(name).catch(() => {});
     group.kill(name);
@@ -114,7 +115,7 @@
       .then(({ok}) => ok && accepted.push(text));
   }
 
-  /** Has the leader replace some voter by the member that is left out. */
+  /** Has the leader replace a random voter by the member that is not a voter. */
   function replace(): void {
     const leader = group.leader();
     if (leader === undefined) return;
@@ -195,7 +196,7 @@
   };
 }
 
-/** Ends the lives of members whose disk has failed, as their process would. */
+/** Kills members whose disk has failed, as their process would exit. */
 async function reap(group: TestGroup): Promise<void> {
   for (const name of group.names) {
     if (group.member(name).failure === undefined) continue;
@@ -204,7 +205,7 @@
   await settle();
 }
 
-/** Ends all faults and waits until every member holds everything. */
+/** Ends all faults and waits until all members hold the same entries. */
 async function recover(
   group: TestGroup,
   start: (name: string) => Promise<void>,
@@ -218,14 +219,14 @@
   for (let round = 0; round < recoveryRounds; round++) {
     await group.run(3000);
     if (isSettled(group)) return;
-    // A sync that was set to fail may do so only now.
+    // A sync that was set to fail may fail only now.
     await reap(group);
     for (const name of group.names) await start(name);
   }
   throw new Error('the group did not recover');
 }
 
-/** The members that the one leader counts; none without such a leader. */
+/** The voters in the leader's membership; empty without exactly one leader. */
 function votersOf(group: TestGroup): string[] {
   const leader = group.leader();
   if (leader === undefined) return [];
@@ -234,21 +235,21 @@
 }
 
 /**
- * Whether all that count know each other as such, so that no disk is lost at
- * the moment. Only then may another one go.
+ * Whether all voters know each other as voters, which means that no disk is lost at
+ * present. Only then may another disk be lost.
  */
 function isWhole(group: TestGroup): boolean {
   const voters = votersOf(group);
-  const isIn = voters.map(name => {
+  const areVoters = voters.map(name => {
     const view = group.member(name).consensus?.status();
     if (view === undefined || view.role === 'learner') return false;
     if (view.learners.length > 0) return false;
     return view.voters.every(voter => voters.includes(voter.name));
   });
-  return voters.length === size && isIn.every(Boolean);
+  return voters.length === size && areVoters.every(Boolean);
 }
 
-/** Whether, besides, all of them hold the same entries. */
+/** Whether the group is whole and all voters have committed the same entries. */
 function isSettled(group: TestGroup): boolean {
   if (!isWhole(group)) return false;
   const commits = votersOf(group).map(
@@ -259,7 +260,7 @@
 
 const seeds = Array.from({length: 8}, (_, at) => at + 1);
 
-test('random faults lose and change nothing that was accepted', async t => {
+test('random faults neither lose nor change accepted entries', async t => {
   let accepted = 0;
   let leaders = 0;
   let replaced = 0;
@@ -276,14 +277,14 @@
   t.true(replaced > seeds.length);
 });
 
-// Where the search for a violation starts, which only saves time.
+// The seed at which the search for a violation starts; it only saves time.
 const mutants = [
   {name: 'syncBeforeAnswer', firstSeed: 10},
   {name: 'storageIdentity', firstSeed: 86},
 ] as const;
 
-test('the same faults do show what a missing safeguard costs', async t => {
-  // Else the test above could pass because it sees nothing.
+test('the same faults cause violations when a safeguard is missing', async t => {
+  // Otherwise the test above could pass because it detects nothing.
   for (const {name, firstSeed} of mutants) {
     let broken: number | undefined;
     for (let turn = 0; turn < mutantSeeds && broken === undefined; turn++) {
--- a/src/consensus/membership.test.ts
+++ b/src/consensus/membership.test.ts
@@ -12,7 +12,7 @@
 const textsOf = (group: TestGroup, name: string) =>
   group.member(name).journal.entries.map(({text}) => text);
 
-/** A group of three with two further members that have started and wait. */
+/** Starts a group of three and two standbys. */
 async function startWithSpares(): Promise<TestGroup> {
   const group = await startTestGroup(3, {snapshotEntries: 10});
   for (const name of ['d', 'e']) {
@@ -28,7 +28,7 @@
     .member(group.leader()!)
     .consensus!.replace(leaving, group.member(joining).member);
 
-test('a member is replaced and the new one holds all that was accepted', async t => {
+test('a member is replaced and the new one holds all accepted entries', async t => {
   const group = await startWithSpares();
   const leader = group.leader()!;
   const leaving = group.names.find(name => name !== leader)!;
@@ -47,7 +47,7 @@
   t.is(textsOf(group, next).length, 17);
 });
 
-test('a dead member is replaced without it', async t => {
+test('a dead member can be replaced', async t => {
   const group = await startWithSpares();
   const leader = group.leader()!;
   const dead = group.names.find(name => name !== leader)!;
@@ -57,9 +57,9 @@
   t.is(votersOf(group, leader).length, 3);
 });
 
-test('two replacements at once are refused', async t => {
-  // Two operators each replace a VM. Done together, two majorities could form
-  // that share no member, and each could accept changes of its own.
+test('a second replacement at the same time is refused', async t => {
+  // Two operators each replace a VM. If both replacements ran at once, two majorities
+  // without a common member could form, and each could accept different changes.
   const group = await startWithSpares();
   const leader = group.leader()!;
   const [one, other] = group.names.filter(name => name !== leader);
@@ -71,7 +71,7 @@
   t.true((await group.settled(replace(group, other!, 'e'))).ok);
 });
 
-test('the leader replaces itself and the others go on', async t => {
+test('the leader can be replaced and the others continue', async t => {
   const group = await startWithSpares();
   const old = group.leader()!;
   const result = await group.settled(replace(group, old, 'd'));
@@ -83,9 +83,9 @@
   t.false(votersOf(group, next).includes(old));
 });
 
-test('a new leader goes on with the replacement of the old one', async t => {
-  // The leader is cut off while the joining member still catches up. Left
-  // unfinished, the replacement would block every later one.
+test('a new leader continues the replacement that the old one began', async t => {
+  // The leader is isolated while the joining member is still catching up. If the
+  // replacement remained unfinished, it would block every later one.
   const group = await startWithSpares();
   const old = group.leader()!;
   const leaving = group.names.find(name => name !== old)!;
@@ -106,7 +106,7 @@
   t.pass();
 });
 
-test('unknown, present and silent members are refused with their own codes', async t => {
+test('unknown, present and unreachable members are refused with their own result codes', async t => {
   const group = await startWithSpares();
   group.add('f');
   const cases = [
@@ -121,7 +121,7 @@
   }
 });
 
-test('a joining member that falls silent is given up', async t => {
+test('a joining member that stops answering is removed', async t => {
   const group = await startWithSpares();
   const leader = group.leader()!;
   const leaving = group.names.find(name => name !== leader)!;
@@ -134,9 +134,9 @@
   t.true((await group.settled(replace(group, leaving, 'e'))).ok);
 });
 
-test('a member that died again during its repair can be replaced', async t => {
-  // A voter came back empty, became a learner and died for good. It must not
-  // stand in the way of its own replacement.
+test('a voter that dies again while it is a learner can be replaced', async t => {
+  // A voter restarted with an empty folder, became a learner and died permanently.
+  // It must not block its own replacement.
   const group = await startWithSpares();
   const leader = group.leader()!;
   const dead = group.names.find(name => name !== leader)!;
@@ -159,16 +159,16 @@
   t.is(votersOf(group, leader).length, 3);
 });
 
-test('a leaving member that comes back empty meanwhile still leaves', async t => {
-  // It is a learner again when its replacement completes. Left among the
-  // learners it would be counted once more, and the group would stay at four.
+test('a leaving member that restarts with an empty folder is still removed', async t => {
+  // It is a learner when its replacement completes. If it stayed a learner, it would
+  // become a voter again, and the group would keep four voters.
   const group = await startWithSpares();
   const leader = group.leader()!;
   const leaving = group.names.find(name => name !== leader)!;
-  const mute = new Set(['d', leaving]);
+  const muted = new Set(['d', leaving]);
   group.network.decide((source, _target, message) => {
     const {kind} = message as {kind: string};
-    return mute.has(source) && kind === 'appended' ? 'drop' : 'deliver';
+    return muted.has(source) && kind === 'appended' ? 'drop' : 'deliver';
   });
   const call = replace(group, leaving, 'd');
   await group.run(200);
@@ -177,22 +177,22 @@
   await group.start(leaving);
   const view = () => group.member(leader).consensus!.status();
   await group.until(() => view().learners.length === 2);
-  mute.delete('d');
+  muted.delete('d');
   t.true((await group.settled(call)).ok);
-  mute.clear();
+  muted.clear();
   await group.run(3000);
   t.false(votersOf(group, leader).includes(leaving));
   t.deepEqual([view().voters.length, view().learners.length], [3, 0]);
 });
 
-test('a joined member is known with all its addresses, also after restarts without it', async t => {
-  // The command names the peer address alone. Operators who are refused by an
-  // old member are sent on only if it knows the new leader's other addresses;
-  // it must still know them when it starts again while the new one is down.
+test('all addresses of a joined member are known, also after restarts while it is down', async t => {
+  // The command gives only the peer address. An old member can redirect operators to
+  // a new leader only if it knows the new member's other addresses, and it must still
+  // know them after a restart while the new member is down.
   const group = await startWithSpares();
   const leader = group.leader()!;
   const leaving = group.names.find(name => name !== leader)!;
-  const {name, address, failureDomain, ...told} = group.member('d').member;
+  const {name, address, failureDomain, ...announced} = group.member('d').member;
   const joining = {name, address, failureDomain};
   const replaced = group.member(leader).consensus!.replace(leaving, joining);
   t.true((await group.settled(replaced)).ok);
@@ -207,12 +207,12 @@
     const {voters} = group.member(other).consensus!.status();
     t.like(
       voters.find(voter => voter.name === 'd'),
-      told,
+      announced,
     );
   }
 });
 
-test('observers hear of a joined member', async t => {
+test('observers are called when a member has joined', async t => {
   const group = await startWithSpares();
   const leader = group.leader()!;
   const other = group.names.find(name => name !== leader)!;
@@ -229,8 +229,8 @@
 
 const replaceLostAfter = 2_000;
 
-/** A group of three that replaces lost voters, and one that waits to join. */
-async function startSelfHealing(): Promise<TestGroup> {
+/** Starts a group of three that replaces lost voters, and one standby. */
+async function startWithStandby(): Promise<TestGroup> {
   const group = await startTestGroup(3, {
     snapshotEntries: 10,
     replaceLostAfter,
@@ -244,11 +244,11 @@
 const othersOf = (group: TestGroup) =>
   ['a', 'b', 'c'].filter(name => name !== group.leader());
 
-test('a voter that is gone for good is replaced, and the next loss is borne', async t => {
-  // A control VM is taken away and an empty one comes at another address. Left
-  // at two of three, the group accepts nothing once a disk of these two stalls:
-  // operators' changes wait without an answer though one VM alone is at fault.
-  const group = await startSelfHealing();
+test('a voter that is permanently lost is replaced, and the next loss is tolerated', async t => {
+  // A control VM is removed and an empty one starts at another address. With two of
+  // three voters the group accepts nothing once a disk of these two stalls, and
+  // operators' changes are not answered although only one VM is faulty.
+  const group = await startWithStandby();
   const leader = group.leader()!;
   const [lost, other] = othersOf(group);
   group.kill(lost!);
@@ -258,14 +258,14 @@
   t.true((await group.propose(leader, 'after')).ok);
 });
 
-test('while all voters are heard, a process that waits stays outside', async t => {
-  const group = await startSelfHealing();
+test('while all voters answer, a standby does not join', async t => {
+  const group = await startWithStandby();
   await group.run(4 * replaceLostAfter);
   t.deepEqual(votersOf(group, group.leader()!).sort(), ['a', 'b', 'c']);
 });
 
-test('a voter that is silent for less is not replaced', async t => {
-  const group = await startSelfHealing();
+test('a voter that returns before the timeout is not replaced', async t => {
+  const group = await startWithStandby();
   const leader = group.leader()!;
   const [quiet] = othersOf(group);
   group.kill(quiet!);
@@ -275,11 +275,10 @@
   t.true(votersOf(group, leader).includes(quiet!));
 });
 
-test('a voter that stood still and was replaced comes back as one that waits', async t => {
-  // It still believes that it votes. The group no longer counts it; its
-  // candidacy must not end the term that works, and it takes the place of the
-  // next that is lost.
-  const group = await startSelfHealing();
+test('a voter that was down and was replaced returns as a standby', async t => {
+  // According to its own log it is still a voter, but the group no longer counts it.
+  // Its candidacy must not depose the leader, and it replaces the next lost voter.
+  const group = await startWithStandby();
   const leader = group.leader()!;
   const [slow, other] = othersOf(group);
   group.kill(slow!);
@@ -294,7 +293,7 @@
   t.true((await group.propose(leader, 'after')).ok);
 });
 
-test('without the setting a lost voter keeps its place', async t => {
+test('without the setting a lost voter is not replaced', async t => {
   const group = await startWithSpares();
   const leader = group.leader()!;
   const [lost] = othersOf(group);
--- a/src/consensus/peers.test.ts
+++ b/src/consensus/peers.test.ts
@@ -9,7 +9,7 @@
 const self = {name: 'a', address: '10.0.0.1:7000', failureDomain: 'x'};
 const other = {name: 'b', address: '10.0.0.2:7000', failureDomain: 'y'};
 
-/** Links to a member that takes links as \`accept\` does; returns how many. */
+/** Maintains a link to a member that uses `accept`; returns the number of links. */
 async function countLinks(
   accept: (link: Link) => void,
   silence = 10_000,
@@ -39,9 +39,10 @@
   return links;
 }
 
-test('a link that gives no sign of life is opened anew', async t => {
-  // After a silent cut of many minutes the system retransmits only each two
-  // minutes; a member that is reachable again would stay alone that long.
+test('a link without messages is opened again', async t => {
+  // After a network cut of many minutes the operating system retransmits only every
+  // two minutes, so a member that is reachable again would stay disconnected that
+  // long.
   t.true((await countLinks(() => {})) >= 2);
   t.is(await countLinks(() => {}, Number.MAX_SAFE_INTEGER), 1);
 });
@@ -53,7 +54,7 @@
   t.is(links, 1);
 });
 
-test('a member that refuses links is tried less and less often', async t => {
+test('a member that refuses links is tried at growing intervals', async t => {
   const links = await countLinks(link => link.close());
   t.true(links > 5 && links < 100, `${links} links`);
 });
--- a/src/consensus/read-barriers.test.ts
+++ b/src/consensus/read-barriers.test.ts
@@ -3,8 +3,8 @@
 import {startTestGroup} from './fakes/group.js';
 import type {AppendRequest} from './messages.js';
 
-/** Reads at a leader that was cut off while another accepted a change. */
-async function readAtCutOff(quorumRead: boolean) {
+/** Reads at an isolated leader after another leader has accepted a change. */
+async function readAtIsolatedLeader(quorumRead: boolean) {
   const group = await startTestGroup(3, {
     safeguards: {quorumRead, checkQuorum: false},
   });
@@ -25,16 +25,16 @@
   return {index, value};
 }
 
-test('a cut-off leader proves nothing current; without the quorum round it serves the past', async t => {
-  // A control VM is isolated while it leads. The others accept a change. A node
-  // that restarts beside the old leader would be handed the older version.
-  const safe = await readAtCutOff(true);
+test('an isolated leader confirms no read; without the quorum round it serves an old state', async t => {
+  // A control VM is isolated while it is leader, and the others accept a change. A
+  // node that restarts next to the old leader would receive the older version.
+  const safe = await readAtIsolatedLeader(true);
   t.is(safe.value, undefined);
-  const unsafe = await readAtCutOff(false);
+  const unsafe = await readAtIsolatedLeader(false);
   t.true(unsafe.value! < unsafe.index);
 });
 
-test('many readers on all members share a few quorum rounds', async t => {
+test('many reads on all members share a few quorum rounds', async t => {
   const group = await startTestGroup(3);
   await group.run(200);
   const rounds = new Set<number>();
@@ -53,7 +53,7 @@
   t.true(rounds.size <= 8, `${rounds.size} rounds`);
 });
 
-test('without a majority a read ends with a code instead of waiting', async t => {
+test('without a majority a read fails with a result code instead of waiting', async t => {
   const group = await startTestGroup(3);
   const [first, ...others] = group.names;
   for (const name of others) group.kill(name);
--- a/src/consensus/recovery.test.ts
+++ b/src/consensus/recovery.test.ts
@@ -9,7 +9,7 @@
   replaceLostAfter: 2_400,
 };
 
-/** Three founders, two that joined them, and processes that stand ready. */
+/** Starts three founders, two members that join them, and standby processes. */
 async function startGroup(ready: readonly string[]): Promise<TestGroup> {
   const group = createTestGroup(3, options);
   for (const name of ['a', 'b', 'c']) await group.start(name);
@@ -30,8 +30,8 @@
     .sort();
 }
 
-/** Ends leaders until one leads that joined the founders; they come back. */
-async function haveJoinedOneLead(group: TestGroup): Promise<string> {
+/** Restarts leaders until a member leads that joined the founders later. */
+async function makeJoinedMemberLead(group: TestGroup): Promise<string> {
   for (let turn = 0; turn < 50; turn++) {
     const leader = await group.elect();
     if (['d', 'e'].includes(leader)) return leader;
@@ -40,7 +40,7 @@
     await group.start(leader);
     await group.run(500);
   }
-  throw new Error('only founders came to lead');
+  throw new Error('only founders became leader');
 }
 
 async function accept(group: TestGroup, text: string): Promise<void> {
@@ -48,21 +48,21 @@
   if (!accepted.ok) throw new Error(`${text}: ${accepted.message}`);
 }
 
-// All callers are refused for good after all power was lost. A control VM was
-// gone before, and the group was to replace it. The leader had joined the
-// founders later, and processes that stand ready called the founders only: it
-// knew none of them, kept the gone one, and two lost disks left two of five.
-test('a leader that is no founder replaces a lost voter', async t => {
+// All callers are refused permanently after a power outage of all VMs. A control VM
+// was lost before it and not replaced: standby processes had connected only to the
+// founders, so a leader that was not a founder knew no standby. Two disks that were
+// lost in the outage left two of five voters.
+test('a leader that is not a founder replaces a lost voter', async t => {
   const group = await startGroup(['f']);
-  await haveJoinedOneLead(group);
+  await makeJoinedMemberLead(group);
   group.kill('a');
   await group.run(5_000);
   t.deepEqual(await votersOf(group), ['b', 'c', 'd', 'e', 'f']);
 });
 
-test('two disks lost with all power, after a replacement, are borne', async t => {
+test('after a replacement the group tolerates two disks lost in a power outage', async t => {
   const group = await startGroup(['f']);
-  const leader = await haveJoinedOneLead(group);
+  const leader = await makeJoinedMemberLead(group);
   group.kill('a');
   await group.run(5_000);
   await accept(group, 'before');
@@ -78,11 +78,11 @@
   );
 });
 
-// The same, where the process that could take the place comes later and is told
-// of others that are no members: they can only pass on whom they know.
-test('a process that is told of no member finds the group through others', async t => {
+// The same failure, where the standby starts later and its settings list only
+// processes that are not members. These must forward the members that they know.
+test('a process whose settings name no member finds the group through others', async t => {
   const group = await startGroup(['f']);
-  await haveJoinedOneLead(group);
+  await makeJoinedMemberLead(group);
   group.add('g');
   await group.start('g', {members: [group.member('f').member]});
   await group.run(1_000);
@@ -92,9 +92,10 @@
   t.deepEqual(await votersOf(group), ['b', 'c', 'd', 'e', 'g']);
 });
 
-// A failure domain keeps a voter: a loses its VM, where another process stands
-// ready in the same domain, and one in a domain that has a voter already.
-test('a successor is chosen as if the lost voter were gone', async t => {
+// Voter a is lost. One standby is in its failure domain, the other in a domain that
+// has a voter already. If the lost voter were still counted, the wrong standby
+// could be chosen, and a domain would be left without a voter.
+test('the replacement is chosen without counting the lost voter', async t => {
   const group = await startGroup([]);
   const {failureDomain} = group.member('a').member;
   for (const name of ['f', 'g']) group.add(name);
@@ -109,10 +110,10 @@
   t.deepEqual(await votersOf(group), ['b', 'c', 'd', 'e', 'g']);
 });
 
-// The process that takes a lost voter's place is lost as well, before it counts.
-// Waited for as long as an operator's choice, it keeps the group at one loss
-// fewer for half a minute, in which the next one ends it.
-test('a successor that falls silent gives way to another', async t => {
+// The process that is to replace a lost voter is lost as well, before it becomes a
+// voter. If the group waited for it as long as for one that an operator chose, it
+// would tolerate one loss fewer for half a minute.
+test('a replacement that stops answering is replaced by another process', async t => {
   const group = await startGroup(['f', 'g']);
   group.kill('a');
   await group.until(() => {
--- a/src/consensus/replication.test.ts
+++ b/src/consensus/replication.test.ts
@@ -9,7 +9,7 @@
 import type {AppendRequest, Entry, Message, Voter} from './messages.js';
 
 /** Bytes of entries sent to a frozen follower while the others accept. */
-async function feedFrozen(flowControl: boolean) {
+async function replicateToFrozen(flowControl: boolean) {
   const group = await startTestGroup(3, {safeguards: {flowControl}});
   const leader = group.leader()!;
   const frozen = group.names.find(name => name !== leader)!;
@@ -35,18 +35,19 @@
   return {bytes: sent, accepted, digests: new Set(digests).size};
 }
 
-test('a frozen follower holds a bounded part of the backlog and does not stall the leader', async t => {
-  // One control VM stands still while changes go on. The leader must neither
-  // wait for it nor pile up the whole backlog on its link.
-  const safe = await feedFrozen(true);
+test('a frozen follower is sent a bounded part of the backlog and does not stall the leader', async t => {
+  // One control VM is frozen while changes continue. The leader must neither wait
+  // for it nor queue the whole backlog on its link.
+  const safe = await replicateToFrozen(true);
   t.deepEqual([safe.accepted, safe.digests], [100, 1]);
   t.true(safe.bytes <= 8 * 128 * 1024);
-  const unsafe = await feedFrozen(false);
+  const unsafe = await replicateToFrozen(false);
   t.true(unsafe.bytes >= 100 * 40_000);
 });
 
-test('changes beyond the limits are refused as not run instead of piling up', async t => {
-  // The majority is away for a moment while programs go on sending changes.
+test('changes beyond the limits are refused as not run instead of queued', async t => {
+  // The majority is unreachable for a moment while operators' programs keep sending
+  // changes.
   for (const limits of [{pendingLimit: 10}, {pendingBytesLimit: 10}]) {
     const group = await startTestGroup(3, limits);
     const {consensus} = group.member(group.leader()!);
@@ -79,7 +80,7 @@
   data: Buffer.from(`${index} of ${term}`),
 });
 
-/** Member a, whose log holds `entries`, right after it won `term`. */
+/** Creates member a, whose log holds `entries`, right after it has won `term`. */
 function createLeader(
   entries: readonly Entry[],
   term: number,
@@ -128,7 +129,7 @@
   });
 }
 
-/** A new leader whose old entry reaches a majority before its own first one. */
+/** Creates a leader whose old entry is on a majority before the first of its term. */
 function replicateOldEntry(ownTermCommit: boolean): Core {
   const entries = [command(1, 1), command(2, 2)];
   const core = createLeader(entries, 4, {ownTermCommit});
@@ -137,10 +138,10 @@
   return core;
 }
 
-test('an entry of an earlier term counts only once one of the own term does', t => {
-  // Entry 2 of term 2 is on two of three members, yet c holds another entry 2
-  // of term 3. Were it called committed now and a died, c could still win term
-  // 5 with its newer entry and overwrite what was accepted.
+test('an entry of an earlier term is committed only together with one of the present term', t => {
+  // Entry 2 of term 2 is on two of three members, but c holds another entry 2 of
+  // term 3. If entry 2 were committed now and a died, c could still win term 5 with
+  // its newer entry and overwrite the committed one.
   const safe = replicateOldEntry(true);
   t.is(safe.state.commitIndex, 0);
   acknowledge(safe, 'b', 3);
@@ -150,17 +151,17 @@
   t.is(unsafe.state.commitIndex, 2);
 });
 
-/** A new leader that is asked to change members before its first commit. */
+/** Asks a new leader to change members before its first commit. */
 function changeEarly(ownTermChange: boolean) {
   const core = createLeader([command(1, 1)], 2, {ownTermChange});
   const joining = {...founders[0]!, name: 'd', storage: 'folder-d'};
   return core.replace('c', joining, 2000).answer;
 }
 
-test('members change only after the leader committed an entry of its own term', t => {
-  // Two leaders in turn each append a change to the same old membership. If the
-  // second may do so before it knows that its own term reaches a majority, the
-  // majorities of the two changes need not meet, and both could commit.
+test('members change only after the leader has committed an entry of its term', t => {
+  // Two successive leaders each append a change to the same old membership. If the
+  // second could do so before an entry of its own term is committed, the majorities
+  // of the two changes might not overlap, and both could be committed.
   t.is(changeEarly(true), 'busy');
   t.is(changeEarly(false), 'begun');
 });
--- a/src/consensus/returns.test.ts
+++ b/src/consensus/returns.test.ts
@@ -4,11 +4,11 @@
 import {createTestGroup} from './fakes/group.js';
 import type {TestGroup} from './fakes/group.js';
 
-/** Milliseconds in which a group that bears its losses accepts a change again. */
-const recovery = 15_000;
+/** Milliseconds within which a group that tolerates its losses accepts a change again. */
+const recoveryLimit = 15_000;
 
-/** Milliseconds after the return in which processes stand still now and then. */
-const unsteady = 6_000;
+/** Milliseconds after the restart in which processes are frozen from time to time. */
+const freezePeriod = 6_000;
 
 const options = {
   faultTolerance: 2,
@@ -26,11 +26,11 @@
     .map(({item}) => item);
 }
 
-/** Sends a change to whoever leads until it is accepted; false when it is not. */
+/** Sends a change to the present leader until it is accepted; false if it never is. */
 async function accept(
   group: TestGroup,
   text: string,
-  limit = recovery,
+  limit = recoveryLimit,
 ): Promise<boolean> {
   const end = group.timers.now() + limit;
   while (group.timers.now() < end) {
@@ -48,13 +48,13 @@
   return false;
 }
 
-/** Lets processes stand still and go on by chance, then all go on. */
-async function unsettle(
+/** Freezes and thaws processes at random; all are thawed in the end. */
+async function freezeAtRandom(
   group: TestGroup,
   names: readonly string[],
   random: Random,
 ): Promise<void> {
-  const end = group.timers.now() + unsteady;
+  const end = group.timers.now() + freezePeriod;
   while (group.timers.now() < end) {
     const name = random.pick(names);
     group.freeze(name);
@@ -64,15 +64,15 @@
   }
 }
 
-const plays = [];
-for (let seed = 1; seed <= 24; seed++) plays.push(seed);
+const seeds = [];
+for (let seed = 1; seed <= 24; seed++) seeds.push(seed);
 
-// Three founders grow to five voters, others stand ready. One voter is gone for
-// good, an empty process comes at another address, changes go on. Then all power
-// is lost at once, two voters' disks with it, right after a change was accepted;
-// all come back in any order and stand still now and then. No order may leave
-// the group without a leader, or take an accepted change back.
-for (const seed of plays) {
+// Three founders grow to five voters, and there are standbys. One voter is lost, an
+// empty process starts at another address, and changes continue. Then all processes
+// lose power right after a change was accepted, two voters lose their disks, and all
+// restart in random order and freeze from time to time. In no order may the group
+// stay without a leader or lose an accepted change.
+for (const seed of seeds) {
   test(`a replacement, then two lost disks, in order ${seed}`, async t => {
     const random = createRandom(seed);
     const group = createTestGroup(3, {...options, seed});
@@ -103,7 +103,7 @@
       await group.run(random.integer(150));
       await group.start(name);
     }
-    await unsettle(group, left, random);
+    await freezeAtRandom(group, left, random);
     t.true(await accept(group, 'after'));
     const {journal} = group.member(await group.elect());
     const texts = new Set(journal.entries.map(({text}) => text));
--- a/src/consensus/snapshot.test.ts
+++ b/src/consensus/snapshot.test.ts
@@ -14,7 +14,7 @@
 const digestOf = (group: TestGroup, name: string) =>
   group.member(name).journal.digest();
 
-test('a snapshot and the log after it give the same digest as the whole log', async t => {
+test('a snapshot and the log after it give the same state as the whole log', async t => {
   const digests = new Set<string>();
   for (const snapshotEntries of [7, 1000]) {
     const group = await startTestGroup(3, {snapshotEntries});
@@ -34,7 +34,7 @@
   t.is(digests.size, 1);
 });
 
-/** Breaks a snapshot off in the middle, then starts the member again. */
+/** Interrupts the write of a snapshot, then restarts the member. */
 async function interruptSnapshot(atomicReplace: boolean) {
   const diskOptions = {atomicReplace};
   const group = await startTestGroup(1, {snapshotEntries: 10, diskOptions});
@@ -52,9 +52,9 @@
   return {group, outcome};
 }
 
-test('an interrupted snapshot leaves the old one usable; written in place it would not', async t => {
-  // The process dies while it writes a snapshot. On its next start it must find
-  // the old snapshot and the log after it; half a snapshot is of no use.
+test('an interrupted snapshot leaves the old one intact; without atomic replacement it is lost', async t => {
+  // The process dies while it writes a snapshot. On the next start it must find the
+  // old snapshot and the log after it.
   const safe = await interruptSnapshot(true);
   t.is(safe.outcome, 'started');
   await safe.group.elect();
@@ -65,7 +65,7 @@
   t.is(unsafe.outcome, 'refused');
 });
 
-/** Sizes of the leader's log on disk over 300 changes, each 10. */
+/** Samples the size of the leader's log after each 10 of 300 changes. */
 async function watchLog(snapshotEntries: number) {
   const group = await startTestGroup(3, {snapshotEntries});
   const sizes: number[] = [];
@@ -81,7 +81,7 @@
   };
 }
 
-test('the log stays bounded under endless changes; without snapshots it grows', async t => {
+test('the size of the log is bounded; without snapshots it grows', async t => {
   const bounded = await watchLog(20);
   t.true(bounded.late <= 2 * bounded.early);
   t.true(bounded.kept <= 40);
@@ -90,9 +90,9 @@
   t.true(endless.kept >= 300);
 });
 
-test('a member that missed more than the log holds gets a snapshot', async t => {
-  // A control VM is off while more changes pass than the others keep in their
-  // logs. It must reach the same state, then follow as before.
+test('a member that missed more entries than the log holds receives a snapshot', async t => {
+  // A control VM is down while more changes are accepted than the others keep in
+  // their logs. It must reach the same state and then follow as before.
   const group = await startTestGroup(3, {snapshotEntries: 20});
   const leader = group.leader()!;
   const late = group.names.find(name => name !== leader)!;
@@ -111,11 +111,11 @@
   t.is(digestOf(group, late), digestOf(group, leader));
 });
 
-test('a follower behind the start of the log is not told to commit what it lacks', async t => {
-  // A follower is cut off while a new leader is elected and drops the log that
-  // the follower would need. The next heartbeat speaks of an entry whose term
-  // the leader no longer knows; taken for a match, the follower would commit
-  // entries that it never got, and fail on the first of them.
+test('a follower behind the start of the log does not commit entries that it lacks', async t => {
+  // A follower is isolated while a new leader is elected and compacts the entries
+  // that the follower needs. The next heartbeat refers to an entry whose term the
+  // leader no longer knows. If the follower accepted it as a match, it would commit
+  // entries that it never received, and fail on the first of them.
   const group = await startTestGroup(3, {snapshotEntries: 5});
   const old = group.leader()!;
   const late = group.names.find(name => name !== old)!;
@@ -138,7 +138,7 @@
   t.is(digestOf(group, late), digestOf(group, leader));
 });
 
-test('a snapshot of many parts arrives whole though links break on the way', async t => {
+test('a snapshot of many parts arrives complete although messages are lost and doubled', async t => {
   const group = await startTestGroup(3, {snapshotEntries: 4});
   const leader = group.leader()!;
   const late = group.names.find(name => name !== leader)!;
--- a/src/consensus/storage-identity.test.ts
+++ b/src/consensus/storage-identity.test.ts
@@ -9,14 +9,15 @@
 const rolesOf = (group: TestGroup, names: readonly string[]) =>
   names.map(name => group.member(name).consensus!.status().role);
 
-const isRepaired = (group: TestGroup, name: string) => () => {
+const isRecovered = (group: TestGroup, name: string) => () => {
   const {role, voters, learners} = group.member(name).consensus!.status();
   return role === 'follower' && voters.length === 3 && learners.length === 0;
 };
 
 /**
- * One member is behind, another loses its disk and comes back empty, the third
- * is lost too: only the empty one could make a majority with the late one.
+ * One member is behind, another loses its disk and restarts with an empty folder,
+ * and the third is killed. Only the emptied member could form a majority with the
+ * one that is behind.
  */
 async function loseDiskThenVm(storageIdentity: boolean) {
   const group = await startTestGroup(3, {safeguards: {storageIdentity}});
@@ -34,9 +35,9 @@
 }
 
 test('an emptied voter does not help to elect a leader that lacks an accepted change', async t => {
-  // A change is accepted by two of three VMs. One of them gets a new, empty
-  // disk, the other one dies. Would the empty one vote, the third VM would lead
-  // without the change, and operators would see it taken back.
+  // Two of three VMs accept a change. One of them gets a new, empty disk and the
+  // other one dies. If the emptied member voted, the third VM would become leader
+  // without the change, and the accepted change would be lost.
   const safe = await loseDiskThenVm(true);
   t.true(safe.accepted.ok);
   t.false(rolesOf(safe.group, [safe.emptied, safe.late]).includes('leader'));
@@ -49,12 +50,12 @@
   t.deepEqual(textsOf(unsafe.group, next), ['later']);
 });
 
-test('a second VM can be lost right after the repair of the first', async t => {
-  // A voter comes back empty, is taken in as a learner and counts again once it
-  // holds the whole log. The moment it does, another VM goes with its disk.
+test('a second VM can be lost right after the recovery of the first', async t => {
+  // A voter restarts with an empty folder, becomes a learner, and is a voter again
+  // once it holds the whole log. At that moment another VM is lost with its disk.
   const {group, leader, emptied, late} = await loseDiskThenVm(true);
   await group.start(leader);
-  await group.until(isRepaired(group, emptied));
+  await group.until(isRecovered(group, emptied));
   const next = group.leader()!;
   const second = next === emptied ? late : next;
   group.kill(second);
@@ -64,7 +65,7 @@
   t.deepEqual(textsOf(group, last), ['accepted', 'later']);
 
   await group.start(second);
-  await group.until(isRepaired(group, second));
+  await group.until(isRecovered(group, second));
   t.deepEqual(textsOf(group, second), ['accepted', 'later']);
 });
 
@@ -83,11 +84,11 @@
     seen.add(role);
   });
   t.is(consensus!.status().role, 'learner');
-  await group.until(isRepaired(group, emptied));
+  await group.until(isRecovered(group, emptied));
   t.true(seen.has('follower'));
 });
 
-test('the folder of another member is refused at the start', async t => {
+test('the data folder of another member is refused at the start', async t => {
   const group = await startTestGroup(3);
   for (const name of group.names) group.kill(name);
   group.swapDisks('a', 'b');
@@ -96,7 +97,7 @@
   t.is(code, consensusCodes.foreignFolder);
 });
 
-test('a folder of another group neither votes nor is heard', async t => {
+test('a member with a data folder of another group has no vote and is ignored', async t => {
   // The disk of a test system is attached to a production VM of the same name.
   const other = await startTestGroup(3);
   await other.propose(other.leader()!, 'foreign');
@@ -114,9 +115,9 @@
   t.false(textsOf(group, leader).includes('foreign'));
 });
 
-test('a group is formed only when all first members are there', async t => {
-  // Two empty folders alone can't tell a new group from one that lost two disks
-  // while its third member, which knows better, is out of reach.
+test('a group is formed only when all founders are connected', async t => {
+  // Two members with empty folders can't distinguish a new group from one that lost
+  // two disks while its third member, which holds the log, is unreachable.
   const group = await startTestGroup(3);
   const leader = group.leader()!;
   await group.propose(leader, 'accepted');
--- a/src/consensus/storage-log.test.ts
+++ b/src/consensus/storage-log.test.ts
@@ -23,7 +23,7 @@
   return openStorageLog(folder);
 }
 
-/** A log of three synced batches; with `mark`, the last one is noted too. */
+/** Writes three synced batches; with `mark` also a sync mark for the last one. */
 async function writeThree(disk: FakeDisk, mark: boolean): Promise<void> {
   const {log} = await createLog(disk);
   for (const index of [1, 2, 3]) {
@@ -33,12 +33,12 @@
   if (mark) await log.mark();
 }
 
-// An error of verror is no native one, hence `any`.
+// `any` is needed because an error of verror is not a native error.
 const isDamaged = {instanceOf: Failure, message: /damaged/, any: true} as const;
 
-test('a torn tail is cut: all synced entries stay, whatever was torn', async t => {
-  // The VM loses power while a batch is on its way to the disk. Any part of
-  // the batch may be there, often half a record. None of it was acknowledged.
+test('an incomplete last write is truncated and all synced entries are kept', async t => {
+  // The VM loses power while a batch is written. The disk may hold any part of the
+  // batch, often half a record. None of it was acknowledged.
   for (let seed = 0; seed < 50; seed++) {
     const disk = createFakeDisk();
     const {log} = await createLog(disk);
@@ -57,9 +57,10 @@
   }
 });
 
-test('damage before the synced point refuses to start; unchecked it loses accepted entries', async t => {
-  // A bit flips in the middle of the file. Taken for a torn tail, the entries
-  // after it would be cut although they were synced and acknowledged.
+test('damage to synced entries refuses to start; unchecked it loses accepted entries', async t => {
+  // A bit flips in the middle of the file. If this were treated as an incomplete
+  // write, the entries after it would be truncated although they were synced and
+  // acknowledged.
   const disk = createFakeDisk();
   await writeThree(disk, false);
   disk.flipBit('log', 60);
@@ -69,9 +70,10 @@
   t.true(unchecked.entries.length < 3);
 });
 
-test('damage in the very last entry is told from a torn one by the mark', async t => {
-  // Nothing follows the last entry, so only a mark can tell that it was synced.
-  // Without the mark it looks like a torn tail, and an accepted change goes.
+test('a sync mark distinguishes a damaged last entry from an incomplete write', async t => {
+  // Nothing follows the last entry, so only a sync mark shows that it was synced.
+  // Without the mark it looks like an incomplete write, and an accepted change is
+  // lost.
   const size = 60;
   const marked = createFakeDisk();
   await writeThree(marked, true);
@@ -85,7 +87,7 @@
   t.deepEqual(indexesOf(found), [1, 2]);
 });
 
-test('a cut entry stays away and its index can be written again', async t => {
+test('a truncated entry does not reappear and its index can be written again', async t => {
   const disk = createFakeDisk();
   await writeThree(disk, true);
   const {log} = await openStorageLog(disk.open());
@@ -103,7 +105,7 @@
   );
 });
 
-test('a compacted log keeps its tail and gives the rest back to the disk', async t => {
+test('a compacted log keeps its last entries and frees the space of the others', async t => {
   const disk = createFakeDisk();
   await writeThree(disk, true);
   const before = disk.size('log');
--- a/src/consensus/tolerance.test.ts
+++ b/src/consensus/tolerance.test.ts
@@ -2,11 +2,11 @@
 import {createTestGroup, startTestGroup} from './fakes/group.js';
 import type {TestGroup} from './fakes/group.js';
 
-/** A deployment that must bear two lost disks, as its settings say. */
-const bearsTwo = {faultTolerance: 2};
+/** Settings of a deployment that must tolerate the loss of two disks. */
+const toleratesTwo = {faultTolerance: 2};
 
 async function startFive(): Promise<TestGroup> {
-  const group = await startTestGroup(3, bearsTwo);
+  const group = await startTestGroup(3, toleratesTwo);
   for (const name of ['d', 'e']) {
     group.add(name);
     await group.start(name);
@@ -19,11 +19,11 @@
   if (!accepted.ok) throw new Error(`${text}: ${accepted.message}`);
 }
 
-// All callers are refused for good after the VMs are back. Two control VMs lose
-// their disks while everything loses power, which settings say must be borne.
-// The group had been founded by three processes and never took in the others
-// that ran beside them, so one voter of three was left and no quorum came.
-test('two disks lost at once, with all power, leave the group able to go on', async t => {
+// All callers are refused permanently after a power outage in which two control VMs
+// lost their disks, although the settings require the group to tolerate that. The
+// group was founded by three processes and never added the others, so one voter of
+// three was left and there was no quorum.
+test('a group survives a power outage in which two disks are lost', async t => {
   const group = await startFive();
   await group.run(3_000);
   await accept(group, 'before');
@@ -37,7 +37,7 @@
   t.deepEqual(texts, ['before', 'after']);
 });
 
-test('a group takes in those that call until it bears its losses, and no more', async t => {
+test('a group adds connected processes until it tolerates the losses, and no more', async t => {
   const group = await startFive();
   for (const name of ['f', 'g']) {
     group.add(name);
@@ -49,7 +49,7 @@
   t.deepEqual(learners, []);
 });
 
-test('without the setting a group stays as it was founded', async t => {
+test('without the setting a group keeps its founders only', async t => {
   const group = await startTestGroup(3);
   group.add('d');
   await group.start('d');
@@ -57,9 +57,9 @@
   t.is(group.member(group.leader()!).consensus!.status().voters.length, 3);
 });
 
-// A failure domain is lost with two voters of five in it, where another process
-// stood ready in a domain of its own: the group would bear only one loss more.
-test('a group grows into failure domains that hold no voter yet', async t => {
+// A failure domain with two of five voters is lost, so the group tolerates only one
+// more loss. A standby in an otherwise unused domain should have been added instead.
+test('a group adds voters in failure domains that have none yet', async t => {
   const group = createTestGroup(3, {faultTolerance: 2});
   for (const name of ['d', 'e', 'f']) group.add(name);
   const {failureDomain} = group.member('a').member;
