--- a/src/consensus/create-consensus.ts
+++ b/src/consensus/create-consensus.ts
@@ -42,7 +42,7 @@
   const proposals = createProposals();
   const roleObservers: Array<(status: Status) => void> = [];
   const memberObservers: Array<() => void> = [];
-  const pendingActions: Action[] = [];
+  const queue: Action[] = [];
   let isPerforming = false;
   let stopped: Result<never> | undefined;
   /** Set while a leader that is stopping waits for another member to lead. */
@@ -120,15 +120,10 @@
    * synchronously; the actions of that event run after all earlier ones.
    */
   function perform(actions: readonly Action[]): void {
-    pendingActions.push(...actions);
+    queue.push(...actions);
     if (isPerforming) return;
     isPerforming = true;
-    for (
-      let action = pendingActions.shift();
-      action;
-      action = pendingActions.shift()
-    )
-      performAction(action);
+    for (let next = queue.shift(); next; next = queue.shift()) performOne(next);
     isPerforming = false;
     if (state.log.membership === membership) return;
     membership = state.log.membership;
@@ -154,7 +149,7 @@
     for (const observe of memberObservers) observe();
   }
 
-  function performAction(action: Action): void {
+  function performOne(action: Action): void {
     switch (action.kind) {
       case 'send':
         // A vote must be durable before another member relies on it.
@@ -235,11 +230,7 @@
   }
 
   function refuseProposal(data: Uint8Array): Result<never> | undefined {
-    const {
-      entryLimit,
-      pendingLimit: openLimit,
-      pendingBytesLimit: openBytesLimit,
-    } = options;
+    const {entryLimit, pendingLimit, pendingBytesLimit} = options;
     if (stopped !== undefined) return stopped;
     if (!isLeader() || onHandedOver !== undefined) return notLeader();
     if (data.length > entryLimit) {
@@ -249,7 +240,7 @@
       );
     }
     const isFull =
-      proposals.count >= openLimit || proposals.bytes >= openBytesLimit;
+      proposals.count >= pendingLimit || proposals.bytes >= pendingBytesLimit;
     if (!isFull) return undefined;
     return failure(
       consensusCodes.overloaded,
--- a/src/consensus/membership.ts
+++ b/src/consensus/membership.ts
@@ -114,7 +114,7 @@
     const {voters, learners, replacement} = membershipOf(state);
     if (replacement === undefined) return false;
     const {joining} = replacement;
-    if (silenceOf(joining) < joinTimeout) return false;
+    if (timeSinceContact(joining) < joinTimeout) return false;
     propose({voters, learners: without(learners, joining)});
     return true;
   }
@@ -130,7 +130,8 @@
     const {voters, learners, replacement} = membershipOf(state);
     if (replaceLostAfter === undefined || !isLeader()) return false;
     if (replacement !== undefined) return false;
-    const isLost = ({name}: Voter) => silenceOf(name) >= replaceLostAfter;
+    const isLost = ({name}: Voter) =>
+      timeSinceContact(name) >= replaceLostAfter;
     // Learners that do not answer, such as a voter that restarted with an empty
     // folder and was lost again, are replaced at once: they have no vote.
     if (learners.length > 0) {
@@ -187,7 +188,7 @@
       )[0];
   }
 
-  function silenceOf(name: string): number {
+  function timeSinceContact(name: string): number {
     return state.now - (replication.progressOf(name)?.contactAt ?? state.now);
   }
 
--- a/src/consensus/peers.ts
+++ b/src/consensus/peers.ts
@@ -144,7 +144,7 @@
       link.close();
       return;
     }
-    let peerHello: Hello | undefined;
+    let hello: Hello | undefined;
     accepted.add(link);
     link.onMessage(body => {
       if (isStopped) return;
@@ -152,10 +152,10 @@
       if (message.kind === 'ping') {
         link.send(message);
       } else if (message.kind === 'hello') {
-        peerHello = message;
-        options.onHello(peerHello);
-      } else if (peerHello !== undefined) {
-        options.onMessage(peerHello, message);
+        hello = message;
+        options.onHello(hello);
+      } else if (hello !== undefined) {
+        options.onMessage(hello, message);
       } else {
         // The sender is unknown without a hello; it will open a new link.
         link.close();
@@ -163,8 +163,7 @@
     });
     link.onClose(() => {
       accepted.delete(link);
-      if (peerHello !== undefined && !isStopped)
-        options.onDisconnected(peerHello);
+      if (hello !== undefined && !isStopped) options.onDisconnected(hello);
     });
   }
 
--- a/src/consensus/read-barriers.ts
+++ b/src/consensus/read-barriers.ts
@@ -18,7 +18,7 @@
 interface Waiter {
   readonly id: number;
   /** Name of the member that sent the request; absent for this process. */
-  readonly requester?: string;
+  readonly sender?: string;
   readonly index: number;
 }
 
@@ -37,14 +37,13 @@
   let round: number | undefined;
 
   function answer(waiter: Waiter, index: number | undefined): void {
-    const {id, requester} = waiter;
-    if (requester === undefined)
-      state.actions.push({kind: 'barrier', id, index});
-    else send(state, requester, {kind: 'barrier-answer', id, index});
+    const {id, sender} = waiter;
+    if (sender === undefined) state.actions.push({kind: 'barrier', id, index});
+    else send(state, sender, {kind: 'barrier-answer', id, index});
   }
 
-  function add(id: number, requester?: string): void {
-    waiting.push({id, requester, index: state.commitIndex});
+  function add(id: number, sender?: string): void {
+    waiting.push({id, sender, index: state.commitIndex});
   }
 
   /** Before its first commit a leader does not know which entries are committed. */
@@ -62,8 +61,7 @@
   }
 
   function finish(): boolean {
-    if (round === undefined || !replication.isRoundConfirmed(round))
-      return false;
+    if (round === undefined || !replication.isRoundDone(round)) return false;
     for (const waiter of inRound) answer(waiter, waiter.index);
     inRound = [];
     round = undefined;
--- a/src/consensus/replication.ts
+++ b/src/consensus/replication.ts
@@ -44,7 +44,7 @@
   /** Sends heartbeats at once, with a new quorum round number, and returns it. */
   beginRound(): number;
   /** Whether a majority has answered a quorum round. */
-  isRoundConfirmed(round: number): boolean;
+  isRoundDone(round: number): boolean;
   progressOf(name: string): Progress | undefined;
   /** Asks a reachable voter whose log is complete to take over, if there is one. */
   handOver(): void;
@@ -222,9 +222,9 @@
     if (progress.mode !== 'snapshot' || hasSnapshot) progress.mode = 'stream';
     if (matchIndex > progress.matchIndex) progress.matchIndex = matchIndex;
     progress.nextIndex = Math.max(progress.nextIndex, progress.matchIndex + 1);
-    const {matchIndex: match} = progress;
+    const {matchIndex: acknowledged} = progress;
     progress.pendingBatches = progress.pendingBatches.filter(
-      lastIndex => lastIndex > match,
+      lastIndex => lastIndex > acknowledged,
     );
     advanceCommit();
   }
@@ -291,7 +291,7 @@
       sendHeartbeats();
       return round;
     },
-    isRoundConfirmed(askedRound) {
+    isRoundDone(askedRound) {
       if (!safeguards.quorumRead) return true;
       const answered = membershipOf(state).voters.filter(
         voter =>
