--- a/src/consensus/fakes/group.ts
+++ b/src/consensus/fakes/group.ts
@@ -194,8 +194,7 @@
     const end = timers.now() + limit;
     await settle();
     while (!done()) {
-      if (timers.now() >= end)
-        throw new Error('the condition was not met in time');
+      if (timers.now() >= end) throw new Error('condition not met in time');
       await timers.advanceAsync(10);
     }
   }
--- a/src/consensus/memory-log.ts
+++ b/src/consensus/memory-log.ts
@@ -57,13 +57,13 @@
   ];
   let epoch = 0;
 
-  const entryAt = (index: number) => entries[index - base.index - 1];
+  const find = (index: number) => entries[index - base.index - 1];
   const lastIndex = () => base.index + entries.length;
   const lastChange = () => changes[changes.length - 1]!;
 
   function termAt(index: number): number | undefined {
     if (index === base.index) return base.term;
-    return entryAt(index)?.term;
+    return find(index)?.term;
   }
 
   function recordMembership(entry: Entry): void {
@@ -96,15 +96,11 @@
       return (before.at(-1) ?? changes[0]!).membership;
     },
     termAt,
-    entry: entryAt,
+    entry: find,
     after(index, count, bytes) {
       const found: Entry[] = [];
       let size = 0;
-      for (
-        let next = entryAt(index + 1);
-        next;
-        next = entryAt(next.index + 1)
-      ) {
+      for (let next = find(index + 1); next; next = find(next.index + 1)) {
         size += sizeOf(next);
         if (found.length > 0 && size > bytes) break;
         found.push(next);
--- a/src/consensus/pending-reads.ts
+++ b/src/consensus/pending-reads.ts
@@ -44,22 +44,22 @@
 export function createPendingReads(options: PendingReadsOptions): PendingReads {
   const {timers, resendAfter, timeout, request, appliedIndex} = options;
   let waiting: Waiter[] = [];
-  let inFlight: Request | undefined;
+  let sent: Request | undefined;
   let confirmed: Array<{index: number; waiters: Waiter[]}> = [];
   let nextId = 1;
 
   function sendNext(): void {
-    if (inFlight !== undefined || waiting.length === 0) return;
-    inFlight = {id: nextId++, sentAt: timers.now(), waiters: waiting};
+    if (sent !== undefined || waiting.length === 0) return;
+    sent = {id: nextId++, sentAt: timers.now(), waiters: waiting};
     waiting = [];
-    request(inFlight.id);
+    request(sent.id);
   }
 
   /** Returns the waiters of the request to the queue; the next tick sends it again. */
   function requeue(): void {
-    if (inFlight === undefined) return;
-    waiting = [...inFlight.waiters, ...waiting];
-    inFlight = undefined;
+    if (sent === undefined) return;
+    waiting = [...sent.waiters, ...waiting];
+    sent = undefined;
   }
 
   function settleApplied(applied: number): void {
@@ -92,24 +92,21 @@
       });
     },
     onBarrier(id, index) {
-      if (inFlight?.id !== id) return;
+      if (sent?.id !== id) return;
       if (index === undefined) {
         requeue();
         return;
       }
-      confirmed.push({index, waiters: inFlight.waiters});
-      inFlight = undefined;
+      confirmed.push({index, waiters: sent.waiters});
+      sent = undefined;
       settleApplied(appliedIndex());
       sendNext();
     },
     onApplied: settleApplied,
     tick() {
-      if (
-        inFlight !== undefined &&
-        timers.now() - inFlight.sentAt >= resendAfter
-      )
+      if (sent !== undefined && timers.now() - sent.sentAt >= resendAfter)
         requeue();
-      if (inFlight !== undefined) return;
+      if (sent !== undefined) return;
       expire();
       sendNext();
     },
--- a/src/consensus/replication.ts
+++ b/src/consensus/replication.ts
@@ -87,7 +87,7 @@
   function stream(progress: Progress): boolean {
     const first = progress.nextIndex;
     // Without a limit, a stalled follower makes the leader buffer and resend its
-    // whole backlog repeatedly, until the leader answers nobody in time.
+    // whole backlog repeatedly, until it can't answer the other members in time.
     const window = safeguards.flowControl ? maxPendingBatches : Infinity;
     while (
       progress.nextIndex <= state.log.lastIndex &&
@@ -188,8 +188,8 @@
   }
 
   /**
-   * A leader that receives no answers may have been replaced without knowing. It
-   * steps down so that clients look for the present leader.
+   * A leader that receives no answers of a majority may have been replaced without
+   * being notified. It steps down so that its callers look for the present leader.
    */
   function checkQuorum(): void {
     if (!safeguards.checkQuorum) return;
--- a/src/consensus/storage-log.ts
+++ b/src/consensus/storage-log.ts
@@ -106,8 +106,7 @@
 function scanLog(content: Buffer): LogScan {
   const firstRecord = readRecord(content, 0);
   const base = firstRecord && (packr.unpack(firstRecord.payload) as LogRecord);
-  if (base?.kind !== 'base')
-    throw damaged('the log file has no valid first record');
+  if (base?.kind !== 'base') throw damaged('the log file has no base record');
   const entries: Entry[] = [];
   const offsets: EntryOffset[] = [];
   let end = firstRecord!.end;
