--- a/src/consensus/durability.test.ts
+++ b/src/consensus/durability.test.ts
@@ -40,10 +40,10 @@
 /** Fails the sync of one entry in a group of one member, then restarts it. */
 async function failSync(options: TestGroupOptions) {
   const group = await startTestGroup(1, options);
-  const one = group.member('a');
-  one.disk.failNextSync();
+  const member = group.member('a');
+  member.disk.failNextSync();
   const result = await group.propose('a', 'doubtful');
-  const {failure} = one;
+  const {failure} = member;
   group.kill('a');
   const outcome = await group.start('a').then(
     () => 'started' as const,
--- a/src/consensus/faults.test.ts
+++ b/src/consensus/faults.test.ts
@@ -27,12 +27,12 @@
 }
 
 /** Records all leaders and applied entries, and reports contradictions. */
-function createWitness(group: TestGroup) {
+function createObserver(group: TestGroup) {
   const violations: string[] = [];
   const leaders = new Map<number, string>();
   const entries = new Map<number, string>();
 
-  function noteEntries(name: string): void {
+  function recordEntries(name: string): void {
     for (const {index, text} of group.member(name).journal.entries) {
       const known = entries.get(index) ?? text;
       if (known !== text) violations.push(`${name}: ${index} is ${text}`);
@@ -40,7 +40,7 @@
     }
   }
 
-  function noteLeader(name: string, term: number): void {
+  function recordLeader(name: string, term: number): void {
     const known = leaders.get(term) ?? name;
     if (known !== name) violations.push(`term ${term}: ${known} and ${name}`);
     leaders.set(term, known);
@@ -55,14 +55,14 @@
         const last = group.member(name).journal.entries.at(-1);
         if (last === undefined) return;
         const known = entries.get(last.index) ?? last.text;
-        if (known !== last.text) noteEntries(name);
+        if (known !== last.text) recordEntries(name);
         entries.set(last.index, known);
       });
       consensus!.onRoleChange(({role, term}) => {
-        if (role === 'leader') noteLeader(name, term);
+        if (role === 'leader') recordLeader(name, term);
       });
     },
-    noteEntries,
+    recordEntries,
   };
 }
 
@@ -78,7 +78,7 @@
     diskOptions: {syncTime: 4},
   });
   group.add('spare');
-  const witness = createWitness(group);
+  const observer = createObserver(group);
   const accepted: string[] = [];
   const frozen = new Set<string>();
   let proposed = 0;
@@ -98,7 +98,7 @@
         return false;
       },
     );
-    if (isStarted) witness.watch(name);
+    if (isStarted) observer.watch(name);
   }
 
   /** Stops a member in an orderly way, as in a planned restart. */
@@ -129,7 +129,7 @@
       .then(({ok}) => ok && replaced++);
   }
 
-  async function fault(name: string, kind: number): Promise<void> {
+  async function injectFault(name: string, kind: number): Promise<void> {
     if (kind === 0) group.kill(name, random);
     if (kind === 1) group.isolate(name);
     if (kind === 2) group.network.cut(name, random.pick(group.names));
@@ -143,12 +143,12 @@
       frozen.delete(name);
     }
     if (kind === 6 && isUp(name)) group.member(name).disk.failNextSync();
-    if (kind === 7 && isWhole(group)) {
+    if (kind === 7 && isHealthy(group)) {
       group.kill(name, random);
       group.member(name).disk.wipe();
     }
     if (kind === 10 || kind === 13) {
-      for (const one of group.names) group.kill(one, random);
+      for (const member of group.names) group.kill(member, random);
     }
     if (kind === 11 || kind === 12) replace();
     if (kind === 14 && isUp(name) && !frozen.has(name)) await stop(name);
@@ -170,34 +170,34 @@
     }
     for (const name of group.names) propose(name);
     await group.run(random.integer(1000));
-    await reap(group);
-    await fault(random.pick(group.names), random.integer(30));
+    await killFailedMembers(group);
+    await injectFault(random.pick(group.names), random.integer(30));
     if (random.integer(4) === 0) group.network.release(true);
   }
 
   await recover(group, start, frozen, random);
-  for (const name of group.names) witness.noteEntries(name);
+  for (const name of group.names) observer.recordEntries(name);
   const texts = group
     .member(group.leader()!)
     .journal.entries.map(({text}) => text);
   const digests = votersOf(group).map(name =>
     group.member(name).journal.digest(),
   );
-  if (new Set(digests).size > 1) witness.violations.push('digests differ');
+  if (new Set(digests).size > 1) observer.violations.push('digests differ');
   for (const text of accepted) {
-    const copies = texts.filter(one => one === text).length;
-    if (copies !== 1) witness.violations.push(`${text}: ${copies} copies`);
+    const copies = texts.filter(other => other === text).length;
+    if (copies !== 1) observer.violations.push(`${text}: ${copies} copies`);
   }
   return {
-    violations: witness.violations,
+    violations: observer.violations,
     accepted: accepted.length,
-    leaders: witness.leaders.size,
+    leaders: observer.leaders.size,
     replaced,
   };
 }
 
 /** Kills members whose disk has failed, as their process would exit. */
-async function reap(group: TestGroup): Promise<void> {
+async function killFailedMembers(group: TestGroup): Promise<void> {
   for (const name of group.names) {
     if (group.member(name).failure === undefined) continue;
     if (group.member(name).consensus !== undefined) group.kill(name);
@@ -220,7 +220,7 @@
     await group.run(3000);
     if (isSettled(group)) return;
     // A sync that was set to fail may fail only now.
-    await reap(group);
+    await killFailedMembers(group);
     for (const name of group.names) await start(name);
   }
   throw new Error('the group did not recover');
@@ -238,7 +238,7 @@
  * Whether all voters know each other as voters, which means that no disk is lost at
  * present. Only then may another disk be lost.
  */
-function isWhole(group: TestGroup): boolean {
+function isHealthy(group: TestGroup): boolean {
   const voters = votersOf(group);
   const areVoters = voters.map(name => {
     const view = group.member(name).consensus?.status();
@@ -249,9 +249,9 @@
   return voters.length === size && areVoters.every(Boolean);
 }
 
-/** Whether the group is whole and all voters have committed the same entries. */
+/** Whether the group is healthy and all voters have committed the same entries. */
 function isSettled(group: TestGroup): boolean {
-  if (!isWhole(group)) return false;
+  if (!isHealthy(group)) return false;
   const commits = votersOf(group).map(
     name => group.member(name).consensus!.status().commitIndex,
   );
--- a/src/consensus/membership.test.ts
+++ b/src/consensus/membership.test.ts
@@ -13,7 +13,7 @@
   group.member(name).journal.entries.map(({text}) => text);
 
 /** Starts a group of three and two standbys. */
-async function startWithSpares(): Promise<TestGroup> {
+async function startWithStandbys(): Promise<TestGroup> {
   const group = await startTestGroup(3, {snapshotEntries: 10});
   for (const name of ['d', 'e']) {
     group.add(name);
@@ -29,7 +29,7 @@
     .consensus!.replace(leaving, group.member(joining).member);
 
 test('a member is replaced and the new one holds all accepted entries', async t => {
-  const group = await startWithSpares();
+  const group = await startWithStandbys();
   const leader = group.leader()!;
   const leaving = group.names.find(name => name !== leader)!;
   const result = await group.settled(replace(group, leaving, 'd'));
@@ -48,7 +48,7 @@
 });
 
 test('a dead member can be replaced', async t => {
-  const group = await startWithSpares();
+  const group = await startWithStandbys();
   const leader = group.leader()!;
   const dead = group.names.find(name => name !== leader)!;
   group.kill(dead);
@@ -60,19 +60,19 @@
 test('a second replacement at the same time is refused', async t => {
   // Two operators each replace a VM. If both replacements ran at once, two majorities
   // without a common member could form, and each could accept different changes.
-  const group = await startWithSpares();
+  const group = await startWithStandbys();
   const leader = group.leader()!;
-  const [one, other] = group.names.filter(name => name !== leader);
-  const first = replace(group, one!, 'd');
-  const second = await group.settled(replace(group, other!, 'e'));
-  t.false(second.ok);
-  if (!second.ok) t.is(second.code, consensusCodes.replacementRunning);
-  t.true((await group.settled(first)).ok);
-  t.true((await group.settled(replace(group, other!, 'e'))).ok);
+  const [first, second] = group.names.filter(name => name !== leader);
+  const firstCall = replace(group, first!, 'd');
+  const result = await group.settled(replace(group, second!, 'e'));
+  t.false(result.ok);
+  if (!result.ok) t.is(result.code, consensusCodes.replacementRunning);
+  t.true((await group.settled(firstCall)).ok);
+  t.true((await group.settled(replace(group, second!, 'e'))).ok);
 });
 
 test('the leader can be replaced and the others continue', async t => {
-  const group = await startWithSpares();
+  const group = await startWithStandbys();
   const old = group.leader()!;
   const result = await group.settled(replace(group, old, 'd'));
   t.true(result.ok);
@@ -86,7 +86,7 @@
 test('a new leader continues the replacement that the old one began', async t => {
   // The leader is isolated while the joining member is still catching up. If the
   // replacement remained unfinished, it would block every later one.
-  const group = await startWithSpares();
+  const group = await startWithStandbys();
   const old = group.leader()!;
   const leaving = group.names.find(name => name !== old)!;
   group.network.cut('d', old);
@@ -107,7 +107,7 @@
 });
 
 test('unknown, present and unreachable members are refused with their own result codes', async t => {
-  const group = await startWithSpares();
+  const group = await startWithStandbys();
   group.add('f');
   const cases = [
     ['x', 'd', consensusCodes.memberUnknown],
@@ -122,7 +122,7 @@
 });
 
 test('a joining member that stops answering is removed', async t => {
-  const group = await startWithSpares();
+  const group = await startWithStandbys();
   const leader = group.leader()!;
   const leaving = group.names.find(name => name !== leader)!;
   group.network.cut('d', leader);
@@ -137,7 +137,7 @@
 test('a voter that dies again while it is a learner can be replaced', async t => {
   // A voter restarted with an empty folder, became a learner and died permanently.
   // It must not block its own replacement.
-  const group = await startWithSpares();
+  const group = await startWithStandbys();
   const leader = group.leader()!;
   const dead = group.names.find(name => name !== leader)!;
   group.kill(dead);
@@ -162,7 +162,7 @@
 test('a leaving member that restarts with an empty folder is still removed', async t => {
   // It is a learner when its replacement completes. If it stayed a learner, it would
   // become a voter again, and the group would keep four voters.
-  const group = await startWithSpares();
+  const group = await startWithStandbys();
   const leader = group.leader()!;
   const leaving = group.names.find(name => name !== leader)!;
   const muted = new Set(['d', leaving]);
@@ -189,7 +189,7 @@
   // The command gives only the peer address. An old member can redirect operators to
   // a new leader only if it knows the new member's other addresses, and it must still
   // know them after a restart while the new member is down.
-  const group = await startWithSpares();
+  const group = await startWithStandbys();
   const leader = group.leader()!;
   const leaving = group.names.find(name => name !== leader)!;
   const {name, address, failureDomain, ...announced} = group.member('d').member;
@@ -213,7 +213,7 @@
 });
 
 test('observers are called when a member has joined', async t => {
-  const group = await startWithSpares();
+  const group = await startWithStandbys();
   const leader = group.leader()!;
   const other = group.names.find(name => name !== leader)!;
   const last = group.names.find(name => ![leader, other].includes(name))!;
@@ -230,7 +230,7 @@
 const replaceLostAfter = 2_000;
 
 /** Starts a group of three that replaces lost voters, and one standby. */
-async function startWithStandby(): Promise<TestGroup> {
+async function startSelfHealing(): Promise<TestGroup> {
   const group = await startTestGroup(3, {
     snapshotEntries: 10,
     replaceLostAfter,
@@ -248,7 +248,7 @@
   // A control VM is removed and an empty one starts at another address. With two of
   // three voters the group accepts nothing once a disk of these two stalls, and
   // operators' changes are not answered although only one VM is faulty.
-  const group = await startWithStandby();
+  const group = await startSelfHealing();
   const leader = group.leader()!;
   const [lost, other] = othersOf(group);
   group.kill(lost!);
@@ -259,42 +259,42 @@
 });
 
 test('while all voters answer, a standby does not join', async t => {
-  const group = await startWithStandby();
+  const group = await startSelfHealing();
   await group.run(4 * replaceLostAfter);
   t.deepEqual(votersOf(group, group.leader()!).sort(), ['a', 'b', 'c']);
 });
 
 test('a voter that returns before the timeout is not replaced', async t => {
-  const group = await startWithStandby();
+  const group = await startSelfHealing();
   const leader = group.leader()!;
-  const [quiet] = othersOf(group);
-  group.kill(quiet!);
+  const [silent] = othersOf(group);
+  group.kill(silent!);
   await group.run(replaceLostAfter / 2);
-  await group.start(quiet!);
+  await group.start(silent!);
   await group.run(2 * replaceLostAfter);
-  t.true(votersOf(group, leader).includes(quiet!));
+  t.true(votersOf(group, leader).includes(silent!));
 });
 
 test('a voter that was down and was replaced returns as a standby', async t => {
   // According to its own log it is still a voter, but the group no longer counts it.
   // Its candidacy must not depose the leader, and it replaces the next lost voter.
-  const group = await startWithStandby();
+  const group = await startSelfHealing();
   const leader = group.leader()!;
-  const [slow, other] = othersOf(group);
-  group.kill(slow!);
+  const [replaced, other] = othersOf(group);
+  group.kill(replaced!);
   await group.until(() => votersOf(group, leader).includes('d'));
   await group.until(() => votersOf(group, leader).length === 3);
-  await group.start(slow!);
+  await group.start(replaced!);
   await group.run(2 * replaceLostAfter);
   t.is(group.leader(), leader);
   group.kill(other!);
-  await group.until(() => votersOf(group, leader).includes(slow!));
+  await group.until(() => votersOf(group, leader).includes(replaced!));
   await group.until(() => !votersOf(group, leader).includes(other!));
   t.true((await group.propose(leader, 'after')).ok);
 });
 
 test('without the setting a lost voter is not replaced', async t => {
-  const group = await startWithSpares();
+  const group = await startWithStandbys();
   const leader = group.leader()!;
   const [lost] = othersOf(group);
   group.kill(lost!);
--- a/src/consensus/recovery.test.ts
+++ b/src/consensus/recovery.test.ts
@@ -10,11 +10,11 @@
 };
 
 /** Starts three founders, two members that join them, and standby processes. */
-async function startGroup(ready: readonly string[]): Promise<TestGroup> {
+async function startGroup(standbys: readonly string[]): Promise<TestGroup> {
   const group = createTestGroup(3, options);
   for (const name of ['a', 'b', 'c']) await group.start(name);
   await group.elect();
-  for (const name of ['d', 'e', ...ready]) {
+  for (const name of ['d', 'e', ...standbys]) {
     group.add(name);
     await group.start(name);
     await group.run(1_000);
@@ -32,7 +32,7 @@
 
 /** Restarts leaders until a member leads that joined the founders later. */
 async function makeJoinedMemberLead(group: TestGroup): Promise<string> {
-  for (let turn = 0; turn < 50; turn++) {
+  for (let attempt = 0; attempt < 50; attempt++) {
     const leader = await group.elect();
     if (['d', 'e'].includes(leader)) return leader;
     group.kill(leader);
@@ -66,10 +66,10 @@
   group.kill('a');
   await group.run(5_000);
   await accept(group, 'before');
-  const left = ['b', 'c', 'd', 'e', 'f'];
-  for (const name of left) group.kill(name);
+  const remaining = ['b', 'c', 'd', 'e', 'f'];
+  for (const name of remaining) group.kill(name);
   for (const name of [leader, 'b']) group.member(name).disk.wipe();
-  for (const name of left) await group.start(name);
+  for (const name of remaining) await group.start(name);
   await accept(group, 'after');
   const {journal} = group.member(await group.elect());
   t.deepEqual(
--- a/src/consensus/returns.test.ts
+++ b/src/consensus/returns.test.ts
@@ -76,8 +76,8 @@
   test(`a replacement, then two lost disks, in order ${seed}`, async t => {
     const random = createRandom(seed);
     const group = createTestGroup(3, {...options, seed});
-    const ready = ['d', 'e', 'f', 'g'].slice(0, 2 + random.integer(3));
-    for (const name of ready) group.add(name);
+    const standbys = ['d', 'e', 'f', 'g'].slice(0, 2 + random.integer(3));
+    for (const name of standbys) group.add(name);
     for (const name of shuffle(group.names, random)) await group.start(name);
     await group.run(4_000);
 
@@ -85,25 +85,25 @@
       const {consensus} = group.member(await group.elect());
       return consensus!.status().voters.map(({name}) => name);
     };
-    const gone = random.pick(await votersOf());
-    group.kill(gone, random);
+    const lost = random.pick(await votersOf());
+    group.kill(lost, random);
     await group.run(1_500);
     group.add('y');
     await group.start('y');
     await group.run(6_000);
     for (let at = 0; at < 20; at++) t.true(await accept(group, `${at}`));
 
-    const left = group.names.filter(name => name !== gone);
-    const voters = (await votersOf()).filter(name => name !== gone);
+    const remaining = group.names.filter(name => name !== lost);
+    const voters = (await votersOf()).filter(name => name !== lost);
     const wiped = shuffle(voters, random).slice(0, 2);
-    for (const name of left) group.kill(name, random);
+    for (const name of remaining) group.kill(name, random);
     for (const name of wiped) group.member(name).disk.wipe();
     await group.run(1_200);
-    for (const name of shuffle(left, random)) {
+    for (const name of shuffle(remaining, random)) {
       await group.run(random.integer(150));
       await group.start(name);
     }
-    await freezeAtRandom(group, left, random);
+    await freezeAtRandom(group, remaining, random);
     t.true(await accept(group, 'after'));
     const {journal} = group.member(await group.elect());
     const texts = new Set(journal.entries.map(({text}) => text));
--- a/src/consensus/snapshot.test.ts
+++ b/src/consensus/snapshot.test.ts
@@ -39,9 +39,9 @@
   const diskOptions = {atomicReplace};
   const group = await startTestGroup(1, {snapshotEntries: 10, diskOptions});
   await proposeMany(group, 15);
-  const one = group.member('a');
-  one.disk.interruptReplace('snapshot');
-  for (let at = 0; at < 12 && one.failure === undefined; at++) {
+  const member = group.member('a');
+  member.disk.interruptReplace('snapshot');
+  for (let at = 0; at < 12 && member.failure === undefined; at++) {
     await group.propose('a', `after ${at}`);
   }
   group.kill('a');
