--- a/src/consensus/applier.ts
+++ b/src/consensus/applier.ts
@@ -57,7 +57,8 @@
       membership: state.log.membershipAt(applied),
       data: machine.snapshot(),
     };
-    // Recent entries are kept so that a follower slightly behind needs no snapshot.
+    // Recent entries are kept so that a follower slightly behind needs no
+    // snapshot.
     const keepAfter = Math.max(state.log.baseIndex, applied - snapshotEntries);
     const keepAfterTerm = state.log.termAt(keepAfter)!;
     save({kind: 'save-snapshot', snapshot, keepAfter, keepAfterTerm});
--- a/src/consensus/consensus.ts
+++ b/src/consensus/consensus.ts
@@ -23,8 +23,8 @@
   readonly address: string;
   readonly failureDomain: string;
   /**
-   * Address of its listener for operators. The member announces it itself; it is
-   * absent until then.
+   * Address of its listener for operators. The member announces it itself; it
+   * is absent until then.
    */
   readonly operatorAddress?: string;
   /**
@@ -46,8 +46,8 @@
   /** Members that receive the log and have no vote yet. */
   readonly learners: readonly Member[];
   /**
-   * The members that other processes reported to a process that is not a member;
-   * empty at a member.
+   * The members that other processes reported to a process that is not a
+   * member; empty at a member.
    */
   readonly reportedMembers: readonly Member[];
   /** Bytes sent to the other members since the process started. */
@@ -60,9 +60,9 @@
 export interface Consensus {
   /**
    * Commits one entry. Resolves with the state machine's result once the entry
-   * is synced on a majority and applied on this process. Fails with `not-leader`
-   * when the entry was not proposed, and with `outcome-unknown` when leadership
-   * ended before the result was known.
+   * is synced on a majority and applied on this process. Fails with
+   * `not-leader` when the entry was not proposed, and with `outcome-unknown`
+   * when leadership ended before the result was known.
    */
   propose(entry: Uint8Array): Promise<Result<Uint8Array>>;
   /**
--- a/src/consensus/core-state.ts
+++ b/src/consensus/core-state.ts
@@ -31,9 +31,15 @@
   readonly quorumRead: boolean;
   /** A leader counts copies only of entries of its own term to commit. */
   readonly ownTermCommit: boolean;
-  /** Membership changes only after an entry of the leader's own term is committed. */
+  /**
+   * Membership changes only after an entry of the leader's own term is
+   * committed.
+   */
   readonly ownTermChange: boolean;
-  /** Messages are held back until a vote that was decided before them is durable. */
+  /**
+   * Messages are held back until a vote that was decided before them is
+   * durable.
+   */
   readonly syncVote: boolean;
   /** The number of unacknowledged batches per follower is bounded. */
   readonly flowControl: boolean;
@@ -55,7 +61,9 @@
   stopOnSyncFailure: true,
 };
 
-/** An instruction of the core to its driver, to be performed in the given order. */
+/**
+ * An instruction of the core to its driver, to be performed in the given order.
+ */
 export type Action =
   | {readonly kind: 'send'; readonly to: string; readonly message: Message}
   /** The vote must be durable before any later message is sent. */
@@ -68,8 +76,8 @@
     }
   | {readonly kind: 'cut'; readonly index: number}
   /**
-   * The snapshot must be restored into the state machine, made durable, and then
-   * reported by a `synced` event.
+   * The snapshot must be restored into the state machine, made durable, and
+   * then reported by a `synced` event.
    */
   | {
       readonly kind: 'install';
@@ -98,7 +106,9 @@
   readonly heartbeat: number;
   /** Minimum time without a leader before an election. */
   readonly electionTimeout: number;
-  /** Time without an answer after which a voter is replaced; absent for never. */
+  /**
+   * Time without an answer after which a voter is replaced; absent for never.
+   */
   readonly replaceLostAfter?: number | undefined;
   /**
    * Number of voters that may be lost at once; absent to keep the number of
@@ -138,7 +148,9 @@
   commitIndex: number;
   /** This member's entries up to this index are durable. */
   syncedIndex: number;
-  /** This member's entries up to this index equal those of the leader of `term`. */
+  /**
+   * This member's entries up to this index equal those of the leader of `term`.
+   */
   verifiedIndex: number;
   /** Latest quorum round received from the leader of `term`. */
   round: number;
@@ -184,7 +196,9 @@
   return state.role.current;
 }
 
-/** Enters a newer term, in which this member has not voted and knows no leader. */
+/**
+ * Enters a newer term, in which this member has not voted and knows no leader.
+ */
 export function adoptTerm(state: CoreState, term: number): void {
   if (term <= state.term) return;
   state.term = term;
@@ -229,7 +243,9 @@
   return state.log.membership;
 }
 
-/** The voter that sent a message, or undefined when the sender is not a voter. */
+/**
+ * The voter that sent a message, or undefined when the sender is not a voter.
+ */
 export function findVoter(state: CoreState, peer: Peer): Voter | undefined {
   return membershipOf(state).voters.find(voter =>
     isSamePeer(state, voter, peer),
@@ -237,9 +253,9 @@
 }
 
 /**
- * Whether a message comes from the data folder that was recorded for its sender.
- * A known member whose disk was emptied has lost its votes and entries. If it
- * were counted, a majority could form that lacks an accepted change.
+ * Whether a message comes from the data folder that was recorded for its
+ * sender. A known member whose disk was emptied has lost its votes and entries.
+ * If it were counted, a majority could form that lacks an accepted change.
  */
 export function isSamePeer(
   state: CoreState,
--- a/src/consensus/core.ts
+++ b/src/consensus/core.ts
@@ -37,7 +37,9 @@
   | {readonly kind: 'barrier'; readonly id: number}
   /** This process is about to stop, so another member should lead. */
   | {readonly kind: 'hand-over'}
-  /** All entries up to `index`, written in this epoch of the log, are durable. */
+  /**
+   * All entries up to `index`, written in this epoch of the log, are durable.
+   */
   | {readonly kind: 'synced'; readonly index: number; readonly epoch: number}
   /** A snapshot of this member's state is durable; the log may be compacted. */
   | {
@@ -49,8 +51,9 @@
   | {readonly kind: 'formed'; readonly snapshot: Snapshot};
 
 /**
- * The consensus algorithm of one member. It is synchronous: it takes an event and
- * returns the actions to perform, and uses no disk, network or clock itself.
+ * The consensus algorithm of one member. It is synchronous: it takes an event
+ * and returns the actions to perform, and uses no disk, network or clock
+ * itself.
  */
 export interface Core {
   readonly state: Readonly<CoreState>;
@@ -112,8 +115,8 @@
   }
 
   function onSynced(index: number, epoch: number): void {
-    // The entry was written before the log was truncated; another entry may have
-    // its index now.
+    // The entry was written before the log was truncated; another entry may
+    // have its index now.
     if (epoch !== state.log.epoch) return;
     state.syncedIndex = Math.max(state.syncedIndex, index);
     if (roleOf(state) === 'leader') replication.onSynced();
@@ -157,7 +160,10 @@
     }
   }
 
-  /** Updates the role from the membership: only a voter may be candidate or leader. */
+  /**
+   * Updates the role from the membership: only a voter may be candidate or
+   * leader.
+   */
   function refreshRole(): void {
     const isCommitted = state.log.membershipIndex <= state.commitIndex;
     if (isVoter(state)) state.role.send('voter-added');
--- a/src/consensus/create-consensus.ts
+++ b/src/consensus/create-consensus.ts
@@ -138,7 +138,8 @@
       voters: namesOf(voters),
       learners: namesOf(learners),
       leaving: replacement?.leaving,
-      // The processes from which the leader chooses the replacement of a lost voter.
+      // The processes from which the leader chooses the replacement of a lost
+      // voter.
       ready: namesOf(links.ready),
       // Number of voters that may be lost at once together with their disks.
       bearable: Math.ceil(voters.length / 2) - 1,
@@ -182,7 +183,8 @@
 
   /**
    * A state machine that can't apply an entry must stop. Its state would differ
-   * from the others', and it would answer with changes that were never accepted.
+   * from the others', and it would answer with changes that were never
+   * accepted.
    */
   function apply(index: number): void {
     try {
@@ -207,8 +209,8 @@
     if (onHandedOver !== undefined && proposals.count === 0) {
       handle({kind: 'hand-over'});
     }
-    // While idle, a sync mark is written so that damage to the last entry can be
-    // distinguished from an incomplete write.
+    // While idle, a sync mark is written so that damage to the last entry can
+    // be distinguished from an incomplete write.
     if (writer.isIdle && !storage.isMarked) writer.push({kind: 'mark'});
   }
 
@@ -261,7 +263,8 @@
         `${joining.name} has not called; start it with this group's members in its settings`,
       );
     }
-    // The command gives the peer address; the other addresses come from the hello.
+    // The command gives the peer address; the other addresses come from the
+    // hello.
     const voter = {...connected, ...joining};
     const {answer, actions} = core.replace(leaving, voter, timers.now());
     perform(actions);
--- a/src/consensus/data-folder.ts
+++ b/src/consensus/data-folder.ts
@@ -6,7 +6,10 @@
 import {consensusCodes} from './codes.js';
 import type {Snapshot, Vote, Voter} from './messages.js';
 
-/** The content of a data folder's identity file, which is rewritten with each vote. */
+/**
+ * The content of a data folder's identity file, which is rewritten with each
+ * vote.
+ */
 export interface Identity extends Vote {
   /** Random identifier created with the data folder. */
   readonly storage: string;
@@ -48,8 +51,8 @@
 }
 
 /**
- * Replaces the snapshot durably. An interrupted write leaves the old snapshot in
- * place, and the log is compacted only after this function has returned.
+ * Replaces the snapshot durably. An interrupted write leaves the old snapshot
+ * in place, and the log is compacted only after this function has returned.
  */
 export async function writeSnapshot(
   disk: Disk,
--- a/src/consensus/durability.test.ts
+++ b/src/consensus/durability.test.ts
@@ -9,7 +9,9 @@
 const textsOf = (group: TestGroup, name: string) =>
   group.member(name).journal.entries.map(({text}) => text);
 
-/** Has an entry accepted, kills all members at that moment, and restarts them. */
+/**
+ * Has an entry accepted, kills all members at that moment, and restarts them.
+ */
 async function acceptThenLosePower(options: TestGroupOptions) {
   const group = await startTestGroup(3, {
     ...options,
@@ -24,8 +26,8 @@
 }
 
 test('an accepted change survives a power outage of all VMs; answered before the sync it is lost', async t => {
-  // The operator receives "accepted", then all three VMs lose power at once. If the
-  // answer was sent before the disks had synced, no disk holds the change.
+  // The operator receives "accepted", then all three VMs lose power at once. If
+  // the answer was sent before the disks had synced, no disk holds the change.
   const safe = await acceptThenLosePower({});
   t.true(safe.accepted.ok);
   t.deepEqual(safe.texts, ['booked', 'later']);
@@ -54,8 +56,8 @@
 
 test('a failed sync stops the member; if it continued, an accepted change could be lost', async t => {
   // The kernel drops the bytes of a failed sync and reports the next sync as
-  // successful. A member that continues answers "accepted" for a change that is not
-  // on its disk, and the next crash loses the change.
+  // successful. A member that continues answers "accepted" for a change that is
+  // not on its disk, and the next crash loses the change.
   const safe = await failSync({});
   t.false(safe.result.ok);
   if (!safe.result.ok) t.is(safe.result.code, consensusCodes.outcomeUnknown);
@@ -151,18 +153,18 @@
 }
 
 test('a vote is sent only after it is on disk', async t => {
-  // A voter grants its vote, dies and restarts. If the vote was sent before it was
-  // durable, the voter may vote for another candidate in the same term, and there
-  // would be two leaders.
+  // A voter grants its vote, dies and restarts. If the vote was sent before it
+  // was durable, the voter may vote for another candidate in the same term, and
+  // there would be two leaders.
   const safe = await catchVote(true);
   t.is(safe.kept, safe.sent);
   const unsafe = await catchVote(false);
   t.true(unsafe.kept < unsafe.sent);
 });
 
-// A process whose state is damaged would answer with a text that no operator sent,
-// and would send it on in a snapshot. It must stop with a result code instead, and
-// the others must continue.
+// A process whose state is damaged would answer with a text that no operator
+// sent, and would send it on in a snapshot. It must stop with a result code
+// instead, and the others must continue.
 test('a member whose state machine fails stops, and the others continue', async t => {
   const group = await startTestGroup(3);
   const leader = await group.elect();
--- a/src/consensus/fakes/fake-consensus.ts
+++ b/src/consensus/fakes/fake-consensus.ts
@@ -6,7 +6,9 @@
 /** The outcome of a proposal; `commit-and-lose` and `lose` return no result. */
 export type ProposalOutcome = 'answer' | 'commit-and-lose' | 'lose';
 
-/** A control group in memory that commits at once and fails as the test plans. */
+/**
+ * A control group in memory that commits at once and fails as the test plans.
+ */
 export interface FakeGroup<M extends StateMachine> {
   member(name: string): Consensus;
   machine(name: string): M;
@@ -23,7 +25,9 @@
   entries(): readonly Uint8Array[];
 }
 
-/** Creates a group whose members each apply the entries to their own machine. */
+/**
+ * Creates a group whose members each apply the entries to their own machine.
+ */
 export function createFakeGroup<M extends StateMachine>(
   names: readonly string[],
   createMachine: () => M,
--- a/src/consensus/fakes/freezable.ts
+++ b/src/consensus/fakes/freezable.ts
@@ -61,7 +61,9 @@
   })();
 }
 
-/** Creates a network whose messages are held back while the process is frozen. */
+/**
+ * Creates a network whose messages are held back while the process is frozen.
+ */
 export function createFreezableNetwork(
   network: Network,
   clock: FreezableTimers,
--- a/src/consensus/fakes/group.ts
+++ b/src/consensus/fakes/group.ts
@@ -71,8 +71,8 @@
   /** Starts a member; `overrides` replace the options of the group. */
   start(name: string, overrides?: Partial<ConsensusOptions>): Promise<void>;
   /**
-   * Kills a member. Unsynced bytes are lost; with `random`, a random part of them
-   * is kept.
+   * Kills a member. Unsynced bytes are lost; with `random`, a random part of
+   * them is kept.
    */
   kill(name: string, random?: Random): void;
   /** Stops a member in an orderly way. */
@@ -87,7 +87,9 @@
   leader(): string | undefined;
   /** Advances the time until there is a leader and returns its name. */
   elect(): Promise<string>;
-  /** Proposes an entry to a member and advances the time until it has answered. */
+  /**
+   * Proposes an entry to a member and advances the time until it has answered.
+   */
   propose(name: string, text: string): Promise<Result<Uint8Array>>;
   /** Advances the time until a promise has settled. */
   settled<T>(promise: Promise<T>): Promise<T>;
@@ -95,7 +97,9 @@
   useDisk(name: string, disk: FakeDisk): void;
   /** Swaps the disks of two members. */
   swapDisks(left: string, right: string): void;
-  /** Freezes a process as SIGSTOP does: its timers and messages are held back. */
+  /**
+   * Freezes a process as SIGSTOP does: its timers and messages are held back.
+   */
   freeze(name: string): void;
   /** Continues a frozen process; timers and messages held back run at once. */
   thaw(name: string): void;
@@ -112,7 +116,10 @@
 const electionTimeout = 500;
 const heartbeat = 50;
 
-/** Creates a group of `size` members named a, b, c and so on, without starting them. */
+/**
+ * Creates a group of `size` members named a, b, c and so on, without starting
+ * them.
+ */
 export function createTestGroup(
   size: number,
   options: TestGroupOptions = {},
@@ -175,7 +182,8 @@
 
   function kill(name: string, crashRandom?: Random): void {
     const testMember = all.get(name)!;
-    // Timers and messages that are still pending in the killed process never run.
+    // Timers and messages that are still pending in the killed process never
+    // run.
     testMember.clock.freeze();
     testMember.clock = createFreezableTimers(timers);
     network.kill(name);
--- a/src/consensus/faults.test.ts
+++ b/src/consensus/faults.test.ts
@@ -7,12 +7,13 @@
 import {createTestGroup} from './fakes/group.js';
 import type {TestGroup} from './fakes/group.js';
 
-// Injects random faults, which are the same for the same seed. Members are killed,
-// alone or all at once, and lose unsynced bytes; they freeze, lose their disk, or
-// fail a sync. Links are cut in one or both directions, and messages are dropped,
-// doubled and reordered. Meanwhile changes are proposed and members replaced. There
-// must be at most one leader per term, all members must apply the same entries in
-// the same order, and no accepted change may be lost.
+// Injects random faults, which are the same for the same seed. Members are
+// killed, alone or all at once, and lose unsynced bytes; they freeze, lose
+// their disk, or fail a sync. Links are cut in one or both directions, and
+// messages are dropped, doubled and reordered. Meanwhile changes are proposed
+// and members replaced. There must be at most one leader per term, all members
+// must apply the same entries in the same order, and no accepted change may be
+// lost.
 
 const steps = 150;
 const size = 3;
@@ -115,7 +116,9 @@
       .then(({ok}) => ok && accepted.push(text));
   }
 
-  /** Has the leader replace a random voter by the member that is not a voter. */
+  /**
+   * Has the leader replace a random voter by the member that is not a voter.
+   */
   function replace(): void {
     const leader = group.leader();
     if (leader === undefined) return;
@@ -235,8 +238,8 @@
 }
 
 /**
- * Whether all voters know each other as voters, which means that no disk is lost at
- * present. Only then may another disk be lost.
+ * Whether all voters know each other as voters, which means that no disk is
+ * lost at present. Only then may another disk be lost.
  */
 function isHealthy(group: TestGroup): boolean {
   const voters = votersOf(group);
@@ -249,7 +252,9 @@
   return voters.length === size && areVoters.every(Boolean);
 }
 
-/** Whether the group is healthy and all voters have committed the same entries. */
+/**
+ * Whether the group is healthy and all voters have committed the same entries.
+ */
 function isSettled(group: TestGroup): boolean {
   if (!isHealthy(group)) return false;
   const commits = votersOf(group).map(
--- a/src/consensus/follower.ts
+++ b/src/consensus/follower.ts
@@ -53,8 +53,8 @@
   }
 
   /**
-   * The index after which the leader should try next. It skips all entries of the
-   * term that conflicts.
+   * The index after which the leader should try next. It skips all entries of
+   * the term that conflicts.
    */
   function nextTryFor(message: AppendRequest): number {
     if (message.previousIndex > state.log.lastIndex) return state.log.lastIndex;
--- a/src/consensus/membership.test.ts
+++ b/src/consensus/membership.test.ts
@@ -58,8 +58,9 @@
 });
 
 test('a second replacement at the same time is refused', async t => {
-  // Two operators each replace a VM. If both replacements ran at once, two majorities
-  // without a common member could form, and each could accept different changes.
+  // Two operators each replace a VM. If both replacements ran at once, two
+  // majorities without a common member could form, and each could accept
+  // different changes.
   const group = await startWithStandbys();
   const leader = group.leader()!;
   const [first, second] = group.names.filter(name => name !== leader);
@@ -84,8 +85,8 @@
 });
 
 test('a new leader continues the replacement that the old one began', async t => {
-  // The leader is isolated while the joining member is still catching up. If the
-  // replacement remained unfinished, it would block every later one.
+  // The leader is isolated while the joining member is still catching up. If
+  // the replacement remained unfinished, it would block every later one.
   const group = await startWithStandbys();
   const old = group.leader()!;
   const leaving = group.names.find(name => name !== old)!;
@@ -135,8 +136,8 @@
 });
 
 test('a voter that dies again while it is a learner can be replaced', async t => {
-  // A voter restarted with an empty folder, became a learner and died permanently.
-  // It must not block its own replacement.
+  // A voter restarted with an empty folder, became a learner and died
+  // permanently. It must not block its own replacement.
   const group = await startWithStandbys();
   const leader = group.leader()!;
   const dead = group.names.find(name => name !== leader)!;
@@ -160,8 +161,8 @@
 });
 
 test('a leaving member that restarts with an empty folder is still removed', async t => {
-  // It is a learner when its replacement completes. If it stayed a learner, it would
-  // become a voter again, and the group would keep four voters.
+  // It is a learner when its replacement completes. If it stayed a learner, it
+  // would become a voter again, and the group would keep four voters.
   const group = await startWithStandbys();
   const leader = group.leader()!;
   const leaving = group.names.find(name => name !== leader)!;
@@ -186,9 +187,10 @@
 });
 
 test('all addresses of a joined member are known, also after restarts while it is down', async t => {
-  // The command gives only the peer address. An old member can redirect operators to
-  // a new leader only if it knows the new member's other addresses, and it must still
-  // know them after a restart while the new member is down.
+  // The command gives only the peer address. An old member can redirect
+  // operators to a new leader only if it knows the new member's other
+  // addresses, and it must still know them after a restart while the new member
+  // is down.
   const group = await startWithStandbys();
   const leader = group.leader()!;
   const leaving = group.names.find(name => name !== leader)!;
@@ -245,9 +247,10 @@
   ['a', 'b', 'c'].filter(name => name !== group.leader());
 
 test('a voter that is permanently lost is replaced, and the next loss is tolerated', async t => {
-  // A control VM is removed and an empty one starts at another address. With two of
-  // three voters the group accepts nothing once a disk of these two stalls, and
-  // operators' changes are not answered although only one VM is faulty.
+  // A control VM is removed and an empty one starts at another address. With
+  // two of three voters the group accepts nothing once a disk of these two
+  // stalls, and operators' changes are not answered although only one VM is
+  // faulty.
   const group = await startSelfHealing();
   const leader = group.leader()!;
   const [lost, other] = othersOf(group);
@@ -276,8 +279,9 @@
 });
 
 test('a voter that was down and was replaced returns as a standby', async t => {
-  // According to its own log it is still a voter, but the group no longer counts it.
-  // Its candidacy must not depose the leader, and it replaces the next lost voter.
+  // According to its own log it is still a voter, but the group no longer
+  // counts it. Its candidacy must not depose the leader, and it replaces the
+  // next lost voter.
   const group = await startSelfHealing();
   const leader = group.leader()!;
   const [replaced, other] = othersOf(group);
--- a/src/consensus/membership.ts
+++ b/src/consensus/membership.ts
@@ -24,11 +24,11 @@
 const joinTimeoutFactor = 60;
 
 /**
- * Creates the leader's handling of membership changes. Each step adds or removes
- * one voter, so that every majority before it overlaps every majority after it.
- * The next step waits until the previous one and an entry of this term are
- * committed. Otherwise two leaders could each change a membership that the other
- * has not received.
+ * Creates the leader's handling of membership changes. Each step adds or
+ * removes one voter, so that every majority before it overlaps every majority
+ * after it. The next step waits until the previous one and an entry of this
+ * term are committed. Otherwise two leaders could each change a membership that
+ * the other has not received.
  */
 export function createMembershipChanges(
   state: CoreState,
@@ -120,11 +120,12 @@
   }
 
   /**
-   * Replaces a voter that has not answered for `replaceLostAfter` by a connected
-   * process that is not a member. Without a replacement the group would tolerate
-   * one loss fewer, and the next loss could end it. A voter that was only frozen
-   * returns as a process that may join again. As in an operator's replacement, the
-   * joining process becomes a voter before the lost one is removed.
+   * Replaces a voter that has not answered for `replaceLostAfter` by a
+   * connected process that is not a member. Without a replacement the group
+   * would tolerate one loss fewer, and the next loss could end it. A voter that
+   * was only frozen returns as a process that may join again. As in an
+   * operator's replacement, the joining process becomes a voter before the lost
+   * one is removed.
    */
   function replaceLostVoter(): boolean {
     const {voters, learners, replacement} = membershipOf(state);
@@ -156,10 +157,10 @@
 
   /**
    * Adds a connected process until the group tolerates the configured number of
-   * losses. A group is founded by the few processes that the settings list, which
-   * may be too few: when two of three lose their disks there is never a quorum
-   * again, and every node refuses its callers permanently. Processes are added one
-   * at a time; each becomes a voter only once it holds the whole log.
+   * losses. A group is founded by the few processes that the settings list,
+   * which may be too few: when two of three lose their disks there is never a
+   * quorum again, and every node refuses its callers permanently. Processes are
+   * added one at a time; each becomes a voter only once it holds the whole log.
    */
   function addVoter(): boolean {
     const {voters, learners, replacement} = membershipOf(state);
@@ -212,8 +213,8 @@
       if (otherLearners.length > 0) return 'busy';
       if (!isMember(leaving)) return 'unknown';
       if (isMember(joining.name)) return 'present';
-      // A learner, such as a voter that restarted with an empty folder, is removed
-      // at once.
+      // A learner, such as a voter that restarted with an empty folder, is
+      // removed at once.
       const isVoter = otherLearners.length === learners.length;
       propose({
         voters,
@@ -234,7 +235,10 @@
   };
 }
 
-/** Number of voters of which `faultTolerance` may be lost without losing the majority. */
+/**
+ * Number of voters of which `faultTolerance` may be lost without losing the
+ * majority.
+ */
 function votersToTolerate(faultTolerance: number | undefined): number {
   return faultTolerance === undefined ? 0 : 2 * faultTolerance + 1;
 }
--- a/src/consensus/memory-log.ts
+++ b/src/consensus/memory-log.ts
@@ -6,7 +6,9 @@
   readonly baseIndex: number;
   readonly lastIndex: number;
   readonly lastTerm: number;
-  /** Raised with each truncation, so that writes begun before it can be ignored. */
+  /**
+   * Raised with each truncation, so that writes begun before it can be ignored.
+   */
   readonly epoch: number;
   /** The newest membership in the log, whether committed or not. */
   readonly membership: Membership;
@@ -14,12 +16,14 @@
   readonly membershipIndex: number;
   /** The membership in force after the entry at `index`. */
   membershipAt(index: number): Membership;
-  /** The term at an index, or undefined when the log does not hold that index. */
+  /**
+   * The term at an index, or undefined when the log does not hold that index.
+   */
   termAt(index: number): number | undefined;
   entry(index: number): Entry | undefined;
   /**
-   * Entries after `index`: at most `count` of them, and at least one but otherwise
-   * no more than about `bytes`.
+   * Entries after `index`: at most `count` of them, and at least one but
+   * otherwise no more than about `bytes`.
    */
   after(index: number, count: number, bytes: number): Entry[];
   append(entries: readonly Entry[]): void;
--- a/src/consensus/messages.ts
+++ b/src/consensus/messages.ts
@@ -11,13 +11,18 @@
   readonly storage: string;
 }
 
-/** A replacement in progress. It is in the log so that a new leader continues it. */
+/**
+ * A replacement in progress. It is in the log so that a new leader continues
+ * it.
+ */
 export interface Replacement {
   readonly leaving: string;
   readonly joining: string;
 }
 
-/** The members that count for majorities and those that only receive the log. */
+/**
+ * The members that count for majorities and those that only receive the log.
+ */
 export interface Membership {
   readonly voters: readonly Voter[];
   readonly learners: readonly Voter[];
@@ -49,7 +54,10 @@
   readonly data: Uint8Array;
 }
 
-/** The current term and vote, which must be durable before any answer relies on them. */
+/**
+ * The current term and vote, which must be durable before any answer relies on
+ * them.
+ */
 export interface Vote {
   readonly term: number;
   /** Storage identity of the candidate voted for in `term`. */
@@ -77,7 +85,9 @@
   readonly members: readonly Member[];
 }
 
-/** The first message on each link; it is sent again when the group is formed. */
+/**
+ * The first message on each link; it is sent again when the group is formed.
+ */
 export interface Hello {
   readonly kind: 'hello';
   /** The sender's `protocolVersion`. */
@@ -88,11 +98,16 @@
   readonly group?: string;
   /** The first voters of the group; absent together with `group`. */
   readonly founders?: readonly Voter[];
-  /** The newest member list that the sender knows; absent while it knows none. */
+  /**
+   * The newest member list that the sender knows; absent while it knows none.
+   */
   readonly members?: MemberList;
 }
 
-/** Checks that the other end of a link is alive; the receiver returns it unchanged. */
+/**
+ * Checks that the other end of a link is alive; the receiver returns it
+ * unchanged.
+ */
 export interface Ping {
   readonly kind: 'ping';
 }
@@ -145,7 +160,10 @@
   readonly round: number;
 }
 
-/** One part of a snapshot, for a follower whose next entries were compacted away. */
+/**
+ * One part of a snapshot, for a follower whose next entries were compacted
+ * away.
+ */
 export interface SnapshotPart {
   readonly kind: 'snapshot-part';
   readonly term: number;
@@ -158,7 +176,9 @@
   readonly round: number;
 }
 
-/** Reports to the leader how many bytes of a snapshot the follower has received. */
+/**
+ * Reports to the leader how many bytes of a snapshot the follower has received.
+ */
 export interface SnapshotPartAnswer {
   readonly kind: 'snapshot-taken';
   readonly term: number;
@@ -167,7 +187,10 @@
   readonly round: number;
 }
 
-/** Sent by a leader that stops to a voter whose log is complete, which is to lead. */
+/**
+ * Sent by a leader that stops to a voter whose log is complete, which is to
+ * lead.
+ */
 export interface TakeOverRequest {
   readonly kind: 'take-over';
   readonly term: number;
--- a/src/consensus/peers.test.ts
+++ b/src/consensus/peers.test.ts
@@ -9,7 +9,9 @@
 const self = {name: 'a', address: '10.0.0.1:7000', failureDomain: 'x'};
 const other = {name: 'b', address: '10.0.0.2:7000', failureDomain: 'y'};
 
-/** Maintains a link to a member that uses `accept`; returns the number of links. */
+/**
+ * Maintains a link to a member that uses `accept`; returns the number of links.
+ */
 async function countLinks(
   accept: (link: Link) => void,
   silence = 10_000,
@@ -40,9 +42,9 @@
 }
 
 test('a link without messages is opened again', async t => {
-  // After a network cut of many minutes the operating system retransmits only every
-  // two minutes, so a member that is reachable again would stay disconnected that
-  // long.
+  // After a network cut of many minutes the operating system retransmits only
+  // every two minutes, so a member that is reachable again would stay
+  // disconnected that long.
   t.true((await countLinks(() => {})) >= 2);
   t.is(await countLinks(() => {}, Number.MAX_SAFE_INTEGER), 1);
 });
--- a/src/consensus/peers.ts
+++ b/src/consensus/peers.ts
@@ -29,9 +29,14 @@
 export interface Peers {
   /** Opens a link to a member and reopens it whenever it is lost. */
   maintainLink(member: Member): void;
-  /** Sends a message, or drops it when there is no link or too much is unsent. */
+  /**
+   * Sends a message, or drops it when there is no link or too much is unsent.
+   */
   send(name: string, message: Message): void;
-  /** Sends the present hello again, to all or to those that `isRecipient` selects. */
+  /**
+   * Sends the present hello again, to all or to those that `isRecipient`
+   * selects.
+   */
   announce(isRecipient?: (name: string) => boolean): void;
   /** Bytes sent to all members since the start. */
   readonly bytesOut: number;
@@ -42,7 +47,9 @@
 const maxPendingBytes = 8 * 1024 * 1024;
 /** Number of pings within `silenceTimeout`. */
 const pingsPerTimeout = 5;
-/** Maximum factor by which the delay grows for a member that stays unreachable. */
+/**
+ * Maximum factor by which the delay grows for a member that stays unreachable.
+ */
 const maxBackoffFactor = 20;
 
 interface OutgoingLink {
@@ -58,8 +65,8 @@
 
 /**
  * Listens for members and opens links to them. Each member sends on the links
- * that it opened and receives on those that it accepted, so that a network cut in
- * one direction stops the messages of that direction only.
+ * that it opened and receives on those that it accepted, so that a network cut
+ * in one direction stops the messages of that direction only.
  */
 export async function createPeers(options: PeersOptions): Promise<Peers> {
   const {self, network, timers, random, log, reconnectDelay} = options;
--- a/src/consensus/pending-reads.ts
+++ b/src/consensus/pending-reads.ts
@@ -10,7 +10,9 @@
   onBarrier(id: number, index: number | undefined): void;
   /** Called when entries up to `index` are applied. */
   onApplied(index: number): void;
-  /** Resends a request that was not answered, and fails waiters that timed out. */
+  /**
+   * Resends a request that was not answered, and fails waiters that timed out.
+   */
   tick(): void;
   refuse(result: Result<never>): void;
 }
@@ -55,7 +57,10 @@
     request(sent.id);
   }
 
-  /** Returns the waiters of the request to the queue; the next tick sends it again. */
+  /**
+   * Returns the waiters of the request to the queue; the next tick sends it
+   * again.
+   */
   function requeue(): void {
     if (sent === undefined) return;
     waiting = [...sent.waiters, ...waiting];
--- a/src/consensus/progress.ts
+++ b/src/consensus/progress.ts
@@ -4,8 +4,8 @@
  * How the leader replicates to a follower.
  * - `probe`: one append request at a time until one matches the follower's log.
  * - `stream`: batches are sent ahead of the acknowledgements, up to a limit.
- * - `snapshot`: the entries that the follower needs are compacted away; parts of
- *   a snapshot are sent one at a time.
+ * - `snapshot`: the entries that the follower needs are compacted away; parts
+ *   of a snapshot are sent one at a time.
  */
 export type ReplicationMode = 'probe' | 'stream' | 'snapshot';
 
@@ -15,7 +15,9 @@
   mode: ReplicationMode;
   /** Index of the next entry to send. */
   nextIndex: number;
-  /** The follower's log is synced and equal to the leader's up to this index. */
+  /**
+   * The follower's log is synced and equal to the leader's up to this index.
+   */
   matchIndex: number;
   /** Last index of each batch that was sent and is not acknowledged. */
   pendingBatches: number[];
--- a/src/consensus/proposals.ts
+++ b/src/consensus/proposals.ts
@@ -16,11 +16,19 @@
   take(): Proposal[];
   onProposed(action: Action & {kind: 'proposed'}): void;
   onApplied(index: number, answer: Uint8Array): void;
-  /** A snapshot replaced the entries up to `index`, so their results are unknown. */
+  /**
+   * A snapshot replaced the entries up to `index`, so their results are
+   * unknown.
+   */
   onRestored(index: number): void;
-  /** Fails the changes that `take` has not returned; they were never proposed. */
+  /**
+   * Fails the changes that `take` has not returned; they were never proposed.
+   */
   refuse(result: Result<never>): void;
-  /** Fails all changes as unknown: those already proposed may still be committed. */
+  /**
+   * Fails all changes as unknown: those already proposed may still be
+   * committed.
+   */
   abandon(): void;
 }
 
--- a/src/consensus/read-barriers.test.ts
+++ b/src/consensus/read-barriers.test.ts
@@ -26,8 +26,9 @@
 }
 
 test('an isolated leader confirms no read; without the quorum round it serves an old state', async t => {
-  // A control VM is isolated while it is leader, and the others accept a change. A
-  // node that restarts next to the old leader would receive the older version.
+  // A control VM is isolated while it is leader, and the others accept a
+  // change. A node that restarts next to the old leader would receive the older
+  // version.
   const safe = await readAtIsolatedLeader(true);
   t.is(safe.value, undefined);
   const unsafe = await readAtIsolatedLeader(false);
--- a/src/consensus/read-barriers.ts
+++ b/src/consensus/read-barriers.ts
@@ -3,7 +3,10 @@
 import type {CoreState} from './core-state.js';
 import type {Replication} from './replication.js';
 
-/** Read barriers: each yields an index that covers every change accepted before it. */
+/**
+ * Read barriers: each yields an index that covers every change accepted before
+ * it.
+ */
 export interface ReadBarriers {
   /** Requests a barrier for this process. */
   request(id: number): void;
@@ -24,9 +27,9 @@
 
 /**
  * Creates the read barriers. A round that began before a request proves nothing
- * for it, because its answers may have been sent before another leader accepted a
- * change. A request therefore waits for the next round, which it shares with all
- * requests that arrived in the meantime.
+ * for it, because its answers may have been sent before another leader accepted
+ * a change. A request therefore waits for the next round, which it shares with
+ * all requests that arrived in the meantime.
  */
 export function createReadBarriers(
   state: CoreState,
@@ -46,7 +49,9 @@
     waiting.push({id, sender, index: state.commitIndex});
   }
 
-  /** Before its first commit a leader does not know which entries are committed. */
+  /**
+   * Before its first commit a leader does not know which entries are committed.
+   */
   const isReady = () => state.commitIndex >= replication.termStartIndex;
 
   function begin(): void {
--- a/src/consensus/recovery.test.ts
+++ b/src/consensus/recovery.test.ts
@@ -48,10 +48,10 @@
   if (!accepted.ok) throw new Error(`${text}: ${accepted.message}`);
 }
 
-// All callers are refused permanently after a power outage of all VMs. A control VM
-// was lost before it and not replaced: standby processes had connected only to the
-// founders, so a leader that was not a founder knew no standby. Two disks that were
-// lost in the outage left two of five voters.
+// All callers are refused permanently after a power outage of all VMs. A
+// control VM was lost before it and not replaced: standby processes had
+// connected only to the founders, so a leader that was not a founder knew no
+// standby. Two disks that were lost in the outage left two of five voters.
 test('a leader that is not a founder replaces a lost voter', async t => {
   const group = await startGroup(['f']);
   await makeJoinedMemberLead(group);
@@ -79,7 +79,8 @@
 });
 
 // The same failure, where the standby starts later and its settings list only
-// processes that are not members. These must forward the members that they know.
+// processes that are not members. These must forward the members that they
+// know.
 test('a process whose settings name no member finds the group through others', async t => {
   const group = await startGroup(['f']);
   await makeJoinedMemberLead(group);
@@ -92,9 +93,9 @@
   t.deepEqual(await votersOf(group), ['b', 'c', 'd', 'e', 'g']);
 });
 
-// Voter a is lost. One standby is in its failure domain, the other in a domain that
-// has a voter already. If the lost voter were still counted, the wrong standby
-// could be chosen, and a domain would be left without a voter.
+// Voter a is lost. One standby is in its failure domain, the other in a domain
+// that has a voter already. If the lost voter were still counted, the wrong
+// standby could be chosen, and a domain would be left without a voter.
 test('the replacement is chosen without counting the lost voter', async t => {
   const group = await startGroup([]);
   const {failureDomain} = group.member('a').member;
@@ -110,9 +111,9 @@
   t.deepEqual(await votersOf(group), ['b', 'c', 'd', 'e', 'g']);
 });
 
-// The process that is to replace a lost voter is lost as well, before it becomes a
-// voter. If the group waited for it as long as for one that an operator chose, it
-// would tolerate one loss fewer for half a minute.
+// The process that is to replace a lost voter is lost as well, before it
+// becomes a voter. If the group waited for it as long as for one that an
+// operator chose, it would tolerate one loss fewer for half a minute.
 test('a replacement that stops answering is replaced by another process', async t => {
   const group = await startGroup(['f', 'g']);
   group.kill('a');
--- a/src/consensus/replacements.ts
+++ b/src/consensus/replacements.ts
@@ -9,7 +9,10 @@
 export interface Replacements {
   /** Resolves when the replacement is complete or was cancelled. */
   wait(leaving: string, joining: string): Promise<Result<void>>;
-  /** Checks the waiting calls; to be called after each commit and loss of leadership. */
+  /**
+   * Checks the waiting calls; to be called after each commit and loss of
+   * leadership.
+   */
   check(): void;
 }
 
--- a/src/consensus/replication.test.ts
+++ b/src/consensus/replication.test.ts
@@ -36,8 +36,8 @@
 }
 
 test('a frozen follower is sent a bounded part of the backlog and does not stall the leader', async t => {
-  // One control VM is frozen while changes continue. The leader must neither wait
-  // for it nor queue the whole backlog on its link.
+  // One control VM is frozen while changes continue. The leader must neither
+  // wait for it nor queue the whole backlog on its link.
   const safe = await replicateToFrozen(true);
   t.deepEqual([safe.accepted, safe.digests], [100, 1]);
   t.true(safe.bytes <= 8 * 128 * 1024);
@@ -46,8 +46,8 @@
 });
 
 test('changes beyond the limits are refused as not run instead of queued', async t => {
-  // The majority is unreachable for a moment while operators' programs keep sending
-  // changes.
+  // The majority is unreachable for a moment while operators' programs keep
+  // sending changes.
   for (const limits of [{pendingLimit: 10}, {pendingBytesLimit: 10}]) {
     const group = await startTestGroup(3, limits);
     const {consensus} = group.member(group.leader()!);
@@ -80,7 +80,9 @@
   data: Buffer.from(`${index} of ${term}`),
 });
 
-/** Creates member a, whose log holds `entries`, right after it has won `term`. */
+/**
+ * Creates member a, whose log holds `entries`, right after it has won `term`.
+ */
 function createLeader(
   entries: readonly Entry[],
   term: number,
@@ -129,7 +131,10 @@
   });
 }
 
-/** Creates a leader whose old entry is on a majority before the first of its term. */
+/**
+ * Creates a leader whose old entry is on a majority before the first of its
+ * term.
+ */
 function replicateOldEntry(ownTermCommit: boolean): Core {
   const entries = [command(1, 1), command(2, 2)];
   const core = createLeader(entries, 4, {ownTermCommit});
@@ -139,9 +144,9 @@
 }
 
 test('an entry of an earlier term is committed only together with one of the present term', t => {
-  // Entry 2 of term 2 is on two of three members, but c holds another entry 2 of
-  // term 3. If entry 2 were committed now and a died, c could still win term 5 with
-  // its newer entry and overwrite the committed one.
+  // Entry 2 of term 2 is on two of three members, but c holds another entry 2
+  // of term 3. If entry 2 were committed now and a died, c could still win term
+  // 5 with its newer entry and overwrite the committed one.
   const safe = replicateOldEntry(true);
   t.is(safe.state.commitIndex, 0);
   acknowledge(safe, 'b', 3);
@@ -159,9 +164,10 @@
 }
 
 test('members change only after the leader has committed an entry of its term', t => {
-  // Two successive leaders each append a change to the same old membership. If the
-  // second could do so before an entry of its own term is committed, the majorities
-  // of the two changes might not overlap, and both could be committed.
+  // Two successive leaders each append a change to the same old membership. If
+  // the second could do so before an entry of its own term is committed, the
+  // majorities of the two changes might not overlap, and both could be
+  // committed.
   t.is(changeEarly(true), 'busy');
   t.is(changeEarly(false), 'begun');
 });
--- a/src/consensus/replication.ts
+++ b/src/consensus/replication.ts
@@ -22,7 +22,9 @@
 
 /** Maximum number of entries in one append request. */
 const maxBatchEntries = 256;
-/** Approximate maximum size of an append request; a larger entry is sent alone. */
+/**
+ * Approximate maximum size of an append request; a larger entry is sent alone.
+ */
 const maxBatchBytes = 128 * 1024;
 /** Maximum number of unacknowledged batches per follower. */
 const maxPendingBatches = 8;
@@ -41,12 +43,16 @@
   onSynced(): void;
   onAppendAnswer(from: Peer, message: AppendAnswer): void;
   onSnapshotPartAnswer(from: Peer, message: SnapshotPartAnswer): void;
-  /** Sends heartbeats at once, with a new quorum round number, and returns it. */
+  /**
+   * Sends heartbeats at once, with a new quorum round number, and returns it.
+   */
   beginRound(): number;
   /** Whether a majority has answered a quorum round. */
   isRoundDone(round: number): boolean;
   progressOf(name: string): Progress | undefined;
-  /** Asks a reachable voter whose log is complete to take over, if there is one. */
+  /**
+   * Asks a reachable voter whose log is complete to take over, if there is one.
+   */
   handOver(): void;
 }
 
@@ -86,8 +92,9 @@
 
   function stream(progress: Progress): boolean {
     const first = progress.nextIndex;
-    // Without a limit, a stalled follower makes the leader buffer and resend its
-    // whole backlog repeatedly, until it can't answer the other members in time.
+    // Without a limit, a stalled follower makes the leader buffer and resend
+    // its whole backlog repeatedly, until it can't answer the other members in
+    // time.
     const window = safeguards.flowControl ? maxPendingBatches : Infinity;
     while (
       progress.nextIndex <= state.log.lastIndex &&
@@ -167,9 +174,9 @@
   }
 
   /**
-   * Commits the entries that a majority has synced. Entries of earlier terms are
-   * committed only together with an entry of this term, because an old entry that
-   * a majority holds can still be overwritten by a later leader.
+   * Commits the entries that a majority has synced. Entries of earlier terms
+   * are committed only together with an entry of this term, because an old
+   * entry that a majority holds can still be overwritten by a later leader.
    */
   function advanceCommit(): void {
     const matches = membershipOf(state).voters.map(matchOf);
@@ -188,8 +195,9 @@
   }
 
   /**
-   * A leader that receives no answers of a majority may have been replaced without
-   * being notified. It steps down so that its callers look for the present leader.
+   * A leader that receives no answers of a majority may have been replaced
+   * without being notified. It steps down so that its callers look for the
+   * present leader.
    */
   function checkQuorum(): void {
     if (!safeguards.checkQuorum) return;
--- a/src/consensus/returns.test.ts
+++ b/src/consensus/returns.test.ts
@@ -4,10 +4,16 @@
 import {createTestGroup} from './fakes/group.js';
 import type {TestGroup} from './fakes/group.js';
 
-/** Milliseconds within which a group that tolerates its losses accepts a change again. */
+/**
+ * Milliseconds within which a group that tolerates its losses accepts a change
+ * again.
+ */
 const recoveryLimit = 15_000;
 
-/** Milliseconds after the restart in which processes are frozen from time to time. */
+/**
+ * Milliseconds after the restart in which processes are frozen from time to
+ * time.
+ */
 const freezePeriod = 6_000;
 
 const options = {
@@ -26,7 +32,10 @@
     .map(({item}) => item);
 }
 
-/** Sends a change to the present leader until it is accepted; false if it never is. */
+/**
+ * Sends a change to the present leader until it is accepted; false if it never
+ * is.
+ */
 async function accept(
   group: TestGroup,
   text: string,
@@ -67,11 +76,11 @@
 const seeds = [];
 for (let seed = 1; seed <= 24; seed++) seeds.push(seed);
 
-// Three founders grow to five voters, and there are standbys. One voter is lost, an
-// empty process starts at another address, and changes continue. Then all processes
-// lose power right after a change was accepted, two voters lose their disks, and all
-// restart in random order and freeze from time to time. In no order may the group
-// stay without a leader or lose an accepted change.
+// Three founders grow to five voters, and there are standbys. One voter is
+// lost, an empty process starts at another address, and changes continue. Then
+// all processes lose power right after a change was accepted, two voters lose
+// their disks, and all restart in random order and freeze from time to time. In
+// no order may the group stay without a leader or lose an accepted change.
 for (const seed of seeds) {
   test(`a replacement, then two lost disks, in order ${seed}`, async t => {
     const random = createRandom(seed);
--- a/src/consensus/role.ts
+++ b/src/consensus/role.ts
@@ -14,7 +14,9 @@
   /** Another leader or a newer term appeared, or the majority was lost. */
   | 'stepped-down';
 
-/** The role of a member; an event without a transition from the role is ignored. */
+/**
+ * The role of a member; an event without a transition from the role is ignored.
+ */
 export interface RoleMachine {
   readonly current: Role;
   send(event: RoleEvent): void;
@@ -33,7 +35,8 @@
       transition('stepped-down', 'follower'),
       transition('voter-removed', 'learner'),
     ),
-    // A leader that is removed as a voter becomes a follower first; see core.ts.
+    // A leader that is removed as a voter becomes a follower first; see
+    // core.ts.
     leader: state(transition('stepped-down', 'follower')),
   });
   const service = interpret(machine, () => {});
--- a/src/consensus/snapshot.test.ts
+++ b/src/consensus/snapshot.test.ts
@@ -53,8 +53,8 @@
 }
 
 test('an interrupted snapshot leaves the old one intact; without atomic replacement it is lost', async t => {
-  // The process dies while it writes a snapshot. On the next start it must find the
-  // old snapshot and the log after it.
+  // The process dies while it writes a snapshot. On the next start it must find
+  // the old snapshot and the log after it.
   const safe = await interruptSnapshot(true);
   t.is(safe.outcome, 'started');
   await safe.group.elect();
@@ -91,8 +91,8 @@
 });
 
 test('a member that missed more entries than the log holds receives a snapshot', async t => {
-  // A control VM is down while more changes are accepted than the others keep in
-  // their logs. It must reach the same state and then follow as before.
+  // A control VM is down while more changes are accepted than the others keep
+  // in their logs. It must reach the same state and then follow as before.
   const group = await startTestGroup(3, {snapshotEntries: 20});
   const leader = group.leader()!;
   const late = group.names.find(name => name !== leader)!;
@@ -112,10 +112,11 @@
 });
 
 test('a follower behind the start of the log does not commit entries that it lacks', async t => {
-  // A follower is isolated while a new leader is elected and compacts the entries
-  // that the follower needs. The next heartbeat refers to an entry whose term the
-  // leader no longer knows. If the follower accepted it as a match, it would commit
-  // entries that it never received, and fail on the first of them.
+  // A follower is isolated while a new leader is elected and compacts the
+  // entries that the follower needs. The next heartbeat refers to an entry
+  // whose term the leader no longer knows. If the follower accepted it as a
+  // match, it would commit entries that it never received, and fail on the
+  // first of them.
   const group = await startTestGroup(3, {snapshotEntries: 5});
   const old = group.leader()!;
   const late = group.names.find(name => name !== old)!;
--- a/src/consensus/storage-identity.test.ts
+++ b/src/consensus/storage-identity.test.ts
@@ -15,9 +15,9 @@
 };
 
 /**
- * One member is behind, another loses its disk and restarts with an empty folder,
- * and the third is killed. Only the emptied member could form a majority with the
- * one that is behind.
+ * One member is behind, another loses its disk and restarts with an empty
+ * folder, and the third is killed. Only the emptied member could form a
+ * majority with the one that is behind.
  */
 async function loseDiskThenVm(storageIdentity: boolean) {
   const group = await startTestGroup(3, {safeguards: {storageIdentity}});
@@ -35,9 +35,9 @@
 }
 
 test('an emptied voter does not help to elect a leader that lacks an accepted change', async t => {
-  // Two of three VMs accept a change. One of them gets a new, empty disk and the
-  // other one dies. If the emptied member voted, the third VM would become leader
-  // without the change, and the accepted change would be lost.
+  // Two of three VMs accept a change. One of them gets a new, empty disk and
+  // the other one dies. If the emptied member voted, the third VM would become
+  // leader without the change, and the accepted change would be lost.
   const safe = await loseDiskThenVm(true);
   t.true(safe.accepted.ok);
   t.false(rolesOf(safe.group, [safe.emptied, safe.late]).includes('leader'));
@@ -51,8 +51,9 @@
 });
 
 test('a second VM can be lost right after the recovery of the first', async t => {
-  // A voter restarts with an empty folder, becomes a learner, and is a voter again
-  // once it holds the whole log. At that moment another VM is lost with its disk.
+  // A voter restarts with an empty folder, becomes a learner, and is a voter
+  // again once it holds the whole log. At that moment another VM is lost with
+  // its disk.
   const {group, leader, emptied, late} = await loseDiskThenVm(true);
   await group.start(leader);
   await group.until(isRecovered(group, emptied));
@@ -116,8 +117,8 @@
 });
 
 test('a group is formed only when all founders are connected', async t => {
-  // Two members with empty folders can't distinguish a new group from one that lost
-  // two disks while its third member, which holds the log, is unreachable.
+  // Two members with empty folders can't distinguish a new group from one that
+  // lost two disks while its third member, which holds the log, is unreachable.
   const group = await startTestGroup(3);
   const leader = group.leader()!;
   await group.propose(leader, 'accepted');
--- a/src/consensus/storage-log.test.ts
+++ b/src/consensus/storage-log.test.ts
@@ -23,7 +23,9 @@
   return openStorageLog(folder);
 }
 
-/** Writes three synced batches; with `mark` also a sync mark for the last one. */
+/**
+ * Writes three synced batches; with `mark` also a sync mark for the last one.
+ */
 async function writeThree(disk: FakeDisk, mark: boolean): Promise<void> {
   const {log} = await createLog(disk);
   for (const index of [1, 2, 3]) {
@@ -37,8 +39,8 @@
 const isDamaged = {instanceOf: Failure, message: /damaged/, any: true} as const;
 
 test('an incomplete last write is truncated and all synced entries are kept', async t => {
-  // The VM loses power while a batch is written. The disk may hold any part of the
-  // batch, often half a record. None of it was acknowledged.
+  // The VM loses power while a batch is written. The disk may hold any part of
+  // the batch, often half a record. None of it was acknowledged.
   for (let seed = 0; seed < 50; seed++) {
     const disk = createFakeDisk();
     const {log} = await createLog(disk);
@@ -58,9 +60,9 @@
 });
 
 test('damage to synced entries refuses to start; unchecked it loses accepted entries', async t => {
-  // A bit flips in the middle of the file. If this were treated as an incomplete
-  // write, the entries after it would be truncated although they were synced and
-  // acknowledged.
+  // A bit flips in the middle of the file. If this were treated as an
+  // incomplete write, the entries after it would be truncated although they
+  // were synced and acknowledged.
   const disk = createFakeDisk();
   await writeThree(disk, false);
   disk.flipBit('log', 60);
@@ -71,9 +73,9 @@
 });
 
 test('a sync mark distinguishes a damaged last entry from an incomplete write', async t => {
-  // Nothing follows the last entry, so only a sync mark shows that it was synced.
-  // Without the mark it looks like an incomplete write, and an accepted change is
-  // lost.
+  // Nothing follows the last entry, so only a sync mark shows that it was
+  // synced. Without the mark it looks like an incomplete write, and an accepted
+  // change is lost.
   const size = 60;
   const marked = createFakeDisk();
   await writeThree(marked, true);
--- a/src/consensus/storage-log.ts
+++ b/src/consensus/storage-log.ts
@@ -123,11 +123,11 @@
 }
 
 /**
- * Checks the bytes after the last complete record. Usually they are an incomplete
- * write: the process died before their sync, so they were never acknowledged. A
- * later sync mark for entries that are missing shows the other case, in which
- * synced and acknowledged bytes were damaged. Truncating those would silently
- * lose accepted changes.
+ * Checks the bytes after the last complete record. Usually they are an
+ * incomplete write: the process died before their sync, so they were never
+ * acknowledged. A later sync mark for entries that are missing shows the other
+ * case, in which synced and acknowledged bytes were damaged. Truncating those
+ * would silently lose accepted changes.
  */
 function checkTail(content: Buffer, scan: LogScan): void {
   const last = scan.entries.at(-1)?.index ?? scan.base.index;
--- a/src/consensus/storage.ts
+++ b/src/consensus/storage.ts
@@ -14,7 +14,9 @@
 import {createStorageLog, openStorageLog} from './storage-log.js';
 import type {StorageLog} from './storage-log.js';
 
-/** The durable state of one member. Its operations must not run concurrently. */
+/**
+ * The durable state of one member. Its operations must not run concurrently.
+ */
 export interface Storage {
   readonly identity: Identity;
   /** The state that was read at the start. */
@@ -28,7 +30,10 @@
   sync(): Promise<void>;
   mark(): Promise<void>;
   cut(index: number): Promise<void>;
-  /** Saves a snapshot of this member's state and drops entries up to `keepAfter`. */
+  /**
+   * Saves a snapshot of this member's state and drops entries up to
+   * `keepAfter`.
+   */
   saveSnapshot(
     snapshot: Snapshot,
     keepAfter: number,
@@ -61,7 +66,9 @@
   return hash.digest('hex').slice(0, 16);
 }
 
-/** Opens the durable state of member `owner`; in an empty folder it creates it. */
+/**
+ * Opens the durable state of member `owner`; in an empty folder it creates it.
+ */
 export async function openStorage(disk: Disk, owner: string): Promise<Storage> {
   const found = await readIdentity(disk);
   if (found !== undefined && found.owner !== owner) {
@@ -104,7 +111,8 @@
     const stored = {vote, snapshot, baseIndex, baseTerm, entries, formed: true};
     return createStorage(disk, identity, log, stored);
   }
-  // The process died after it wrote a received snapshot and before it reset the log.
+  // The process died after it wrote a received snapshot and before it reset the
+  // log.
   await log.reset(snapshot.index, snapshot.term);
   return createStorage(disk, identity, log, {
     vote,
--- a/src/consensus/tolerance.test.ts
+++ b/src/consensus/tolerance.test.ts
@@ -19,10 +19,10 @@
   if (!accepted.ok) throw new Error(`${text}: ${accepted.message}`);
 }
 
-// All callers are refused permanently after a power outage in which two control VMs
-// lost their disks, although the settings require the group to tolerate that. The
-// group was founded by three processes and never added the others, so one voter of
-// three was left and there was no quorum.
+// All callers are refused permanently after a power outage in which two control
+// VMs lost their disks, although the settings require the group to tolerate
+// that. The group was founded by three processes and never added the others, so
+// one voter of three was left and there was no quorum.
 test('a group survives a power outage in which two disks are lost', async t => {
   const group = await startFive();
   await group.run(3_000);
@@ -57,8 +57,9 @@
   t.is(group.member(group.leader()!).consensus!.status().voters.length, 3);
 });
 
-// A failure domain with two of five voters is lost, so the group tolerates only one
-// more loss. A standby in an otherwise unused domain should have been added instead.
+// A failure domain with two of five voters is lost, so the group tolerates only
+// one more loss. A standby in an otherwise unused domain should have been added
+// instead.
 test('a group adds voters in failure domains that have none yet', async t => {
   const group = createTestGroup(3, {faultTolerance: 2});
   for (const name of ['d', 'e', 'f']) group.add(name);
--- a/src/consensus/writer.ts
+++ b/src/consensus/writer.ts
@@ -52,7 +52,10 @@
 export interface WriterOptions {
   /** Whether waiting entries share one sync. */
   readonly groupCommit: boolean;
-  /** Whether a failed sync ends the writer; tests switch it off to show why it must. */
+  /**
+   * Whether a failed sync ends the writer; tests switch it off to show why it
+   * must.
+   */
   readonly stopOnFailure: boolean;
 }
 
@@ -127,8 +130,8 @@
 
   /**
    * After a failed sync the kernel may have dropped the bytes and still report
-   * the next sync as successful. The first failure therefore ends the writer, and
-   * only a restart reads what the disk really holds.
+   * the next sync as successful. The first failure therefore ends the writer,
+   * and only a restart reads what the disk really holds.
    */
   function fail(error: unknown): void {
     isStopped = true;
--- a/src/control/member-directory.test.ts
+++ b/src/control/member-directory.test.ts
@@ -104,9 +104,10 @@
   t.is(directory.homes(), homes);
 });
 
-// Four control processes run and three of them form the group. Without a redirect,
-// the fourth one answers operators that no leader is known or lets them wait for a
-// majority that it is not part of. Each such call takes a second or more.
+// Four control processes run and three of them form the group. Without a
+// redirect, the fourth one answers operators that no leader is known or lets
+// them wait for a majority that it is not part of. Each such call takes a
+// second or more.
 test('a process outside the group names a member, and a member names none', t => {
   const {directory, setVoters} = stage();
   const addresses = founders.map(member => member.operatorAddress);
@@ -131,10 +132,10 @@
   t.is(directory.memberAddress(), undefined);
 });
 
-// Nodes refuse all callers after a restart, because the control VMs listed in their
-// settings were replaced and now run processes that are not members of the group.
-// None of them can confirm a configuration, and without reported members none can
-// name a process that does.
+// Nodes refuse all callers after a restart, because the control VMs listed in
+// their settings were replaced and now run processes that are not members of
+// the group. None of them can confirm a configuration, and without reported
+// members none can name a process that does.
 test('a process outside the group names its members to nodes and operators', t => {
   const {directory, report, changes} = stage();
   const member = (number: number): Member => ({
--- a/src/control/member-directory.ts
+++ b/src/control/member-directory.ts
@@ -46,10 +46,10 @@
   }
 
   /**
-   * The members in this process's log or, at a process that is not a member, those
-   * that others reported. The log of such a process may be empty or very old.
-   * Nodes and operators whose settings list only such processes would otherwise
-   * try them in turn and never find a member.
+   * The members in this process's log or, at a process that is not a member,
+   * those that others reported. The log of such a process may be empty or very
+   * old. Nodes and operators whose settings list only such processes would
+   * otherwise try them in turn and never find a member.
    */
   function listMembers() {
     const {voters, learners, reportedMembers: reported} = consensus.status();
@@ -58,8 +58,8 @@
   }
 
   /**
-   * Only the members in this process's log, since nodes do not attach to processes
-   * outside the group.
+   * Only the members in this process's log, since nodes do not attach to
+   * processes outside the group.
    */
   function listPeerAddresses(): Address[] {
     const {voters, learners} = consensus.status();
@@ -96,7 +96,9 @@
     return memberOf(name)?.operatorAddress ?? founderOf(name)?.operatorAddress;
   }
 
-  /** Addresses of the known voters, or of the other founders if none is known. */
+  /**
+   * Addresses of the known voters, or of the other founders if none is known.
+   */
   function listOperatorAddresses(): Address[] {
     const {voters} = listMembers();
     if (voters.length === 0) {
--- a/src/control/members.test.ts
+++ b/src/control/members.test.ts
@@ -14,10 +14,10 @@
 
 const revisionAddress = '10.2.0.39:8164';
 
-// Each change takes seconds until it is accepted although all control VMs are up.
-// A follower redirects the operator to the address that the leader announced. If
-// that is a loopback address, the operator connects to its own VM, where no control
-// process listens.
+// Each change takes seconds until it is accepted although all control VMs are
+// up. A follower redirects the operator to the address that the leader
+// announced. If that is a loopback address, the operator connects to its own
+// VM, where no control process listens.
 test('a member announces no loopback address', t => {
   const self = resolveSelf({...settings, revisionAddress});
   t.is(self.operatorAddress, revisionAddress);
--- a/src/disk/disk.ts
+++ b/src/disk/disk.ts
@@ -1,8 +1,8 @@
 /**
  * The data folder of a process. A file's bytes are durable only once `sync` or
  * `replace` has returned; bytes that were not synced may be lost, completely or
- * in part, in a crash. After a failed sync the content of the file is unknown: the
- * caller must stop using it and start again from the content of the disk.
+ * in part, in a crash. After a failed sync the content of the file is unknown:
+ * the caller must stop using it and start again from the content of the disk.
  */
 export abstract class Disk {
   /** Reads the whole content, or undefined when there is no such file. */
--- a/src/disk/fakes/fake-disk.ts
+++ b/src/disk/fakes/fake-disk.ts
@@ -14,18 +14,25 @@
 
 /** A data folder in memory whose failures a test controls. */
 export interface FakeDisk {
-  /** Opens the folder for a new incarnation of a process; the previous one ends. */
+  /**
+   * Opens the folder for a new incarnation of a process; the previous one ends.
+   */
   open(): Disk;
   /**
    * Ends the present incarnation and discards unsynced bytes. With `random`, a
    * random part of them is kept, which often ends inside a record.
    */
   crash(random?: Random): void;
-  /** Flips one bit of the byte at `offset`; a negative offset counts from the end. */
+  /**
+   * Flips one bit of the byte at `offset`; a negative offset counts from the
+   * end.
+   */
   flipBit(name: string, offset: number): void;
   /** Empties the folder, as if the disk had been replaced. */
   wipe(): void;
-  /** Fails the next sync; its bytes are then lost permanently, as in a kernel. */
+  /**
+   * Fails the next sync; its bytes are then lost permanently, as in a kernel.
+   */
   failNextSync(): void;
   /** Limits the total size of all files. */
   limit(bytes: number): void;
--- a/src/disk/folder-disk.test.ts
+++ b/src/disk/folder-disk.test.ts
@@ -12,8 +12,8 @@
 }
 
 test('a replaced file is complete and an interrupted replacement is never read', async t => {
-  // The process dies after it wrote half of the new content. The old content must
-  // stay readable, and the next replacement must succeed.
+  // The process dies after it wrote half of the new content. The old content
+  // must stay readable, and the next replacement must succeed.
   const folder = await makeFolder(t);
   const disk = await createFolderDisk(folder);
   await disk.replace('state', Buffer.from('old'));
--- a/src/disk/folder-disk.ts
+++ b/src/disk/folder-disk.ts
@@ -3,7 +3,9 @@
 import {join} from 'node:path';
 import {Appender, Disk} from './disk.js';
 
-/** Creates a disk on a folder of the file system; creates the folder if missing. */
+/**
+ * Creates a disk on a folder of the file system; creates the folder if missing.
+ */
 export async function createFolderDisk(folder: string): Promise<Disk> {
   await mkdir(folder, {recursive: true});
   const pathOf = (name: string) => join(folder, name);
--- a/src/disk/record.ts
+++ b/src/disk/record.ts
@@ -2,8 +2,8 @@
 
 /**
  * Records on disk: a magic number, the payload's length and checksum, and the
- * payload. The checksum covers length and payload, so that a flipped bit in either
- * is detected.
+ * payload. The checksum covers length and payload, so that a flipped bit in
+ * either is detected.
  */
 
 const magic = 0xf0b0;
