--- a/src/consensus/messages.ts
+++ b/src/consensus/messages.ts
@@ -11,10 +11,7 @@
   readonly storage: string;
 }
 
-/**
- * A replacement in progress. It is in the log so that a new leader continues
- * it.
- */
+/** A replacement in progress; it is in the log so that a new leader continues. */
 export interface Replacement {
   readonly leaving: string;
   readonly joining: string;
@@ -72,10 +69,10 @@
 
 /**
  * Version of these messages and of the entries that they carry. It is raised
- * with each change that older code would misread: older code would reject an
+ * with each change that older code would misread: older code would answer an
  * entry that it can't decode as invalid, and its state would differ from the
  * others' from then on. From version 2 on, entries are packed and hold
- * differences of texts.
+ * differences between texts.
  */
 export const protocolVersion = 2;
 
@@ -187,10 +184,7 @@
   readonly round: number;
 }
 
-/**
- * Sent by a leader that stops to a voter whose log is complete, which is to
- * lead.
- */
+/** Sent by a stopping leader: asks a voter with a complete log to take over. */
 export interface TakeOverRequest {
   readonly kind: 'take-over';
   readonly term: number;
