--- a/src/consensus/create-consensus.ts
+++ b/src/consensus/create-consensus.ts
@@ -11,7 +11,7 @@
 import {resolveOptions} from './options.js';
 import type {ConsensusOptions} from './options.js';
 import {createProposals} from './proposals.js';
-import {createReads} from './reads.js';
+import {createPendingReads} from './pending-reads.js';
 import {createReplacements, refuseReplacement} from './replacements.js';
 import {openStorage} from './storage.js';
 import {toFailure} from './storage-failure.js';
@@ -20,12 +20,13 @@
 
 export type {ConsensusOptions} from './options.js';
 
-/** Election timeouts after which a read barrier is given up. */
-const readTimeouts = 6;
+/** Timeout of a read barrier, as a multiple of the election timeout. */
+const readTimeoutFactor = 6;
 
 /**
- * Starts a member of the control group: opens its folder, listens and joins in.
- * Throws a `Failure` when the folder is damaged or another member's.
+ * Starts a member of the control group: opens its data folder, listens for the
+ * other members and joins the group. Throws a `Failure` when the data folder is
+ * damaged or belongs to another member.
  */
 export async function createConsensus(
   given: ConsensusOptions,
@@ -35,20 +36,21 @@
   const storage = await openStorage(options.disk, self.name).catch(error => {
     throw toFailure(error);
   });
-  const me: Voter = {...self, storage: storage.identity.storage};
-  const core = createCore({...options, self: me}, storage.stored);
+  const selfVoter: Voter = {...self, storage: storage.identity.storage};
+  const core = createCore({...options, self: selfVoter}, storage.stored);
   const {state} = core;
   const proposals = createProposals();
   const roleObservers: Array<(status: Status) => void> = [];
   const memberObservers: Array<() => void> = [];
-  const due: Action[] = [];
+  const queue: Action[] = [];
   let isPerforming = false;
   let stopped: Result<never> | undefined;
-  /** Set while a leader that stops waits for another to lead. */
-  let retired: (() => void) | undefined;
-  let followed = state.log.membership;
+  /** Set while a leader that is stopping waits for another member to lead. */
+  let onHandedOver: (() => void) | undefined;
+  let membership = state.log.membership;
 
-  const mustWait = () => options.safeguards.syncVote && writer.holdsVote;
+  const mustQueueSends = () =>
+    options.safeguards.syncVote && writer.hasPendingVote;
 
   const isLeader = () => state.role.current === 'leader';
 
@@ -62,7 +64,7 @@
       },
       onInstalled: () => links.announce(),
       send: (to, message) => links.send(to, message),
-      onFailure: fail,
+      onFailure: failStop,
     },
     {
       groupCommit: options.groupCommit,
@@ -76,10 +78,10 @@
     snapshotEntries: options.snapshotEntries,
     save: job => writer.push(job),
   });
-  const reads = createReads({
+  const reads = createPendingReads({
     timers,
-    retry: electionTimeout,
-    timeout: electionTimeout * readTimeouts,
+    resendAfter: electionTimeout,
+    timeout: electionTimeout * readTimeoutFactor,
     request: id => handle({kind: 'barrier', id}),
     appliedIndex: () => applier.index,
   });
@@ -90,7 +92,7 @@
   if (storage.stored.formed) applier.restore(storage.stored.snapshot);
   const links = await createGroupLinks({
     options,
-    me,
+    selfVoter,
     log,
     identity: () => storage.identity,
     handle,
@@ -98,47 +100,48 @@
     write: job => writer.push(job),
   });
   const status = createStatusView({
-    me,
+    selfVoter,
     state,
     links,
     logBytes: () => storage.logBytes,
   });
-  links.follow(followed, state.log.membershipIndex);
-  links.formAlone();
+  links.followMembership(membership, state.log.membershipIndex);
+  links.formSingleMemberGroup();
   const ticking = timers.every(Math.max(1, heartbeat / 2), tick);
 
   function handle(event: Event): void {
     if (stopped !== undefined) return;
     perform(core.handle(event, timers.now()));
-    if (event.kind === 'met') observeMembers();
+    if (event.kind === 'peer-connected') observeMembers();
   }
 
   /**
-   * Does actions in the order in which they were decided. An action may lead to
-   * the next event at once; its actions wait until the earlier ones are done.
+   * Performs actions in the given order. An action may cause the next event
+   * synchronously; the actions of that event run after all earlier ones.
    */
   function perform(actions: readonly Action[]): void {
-    due.push(...actions);
+    queue.push(...actions);
     if (isPerforming) return;
     isPerforming = true;
-    for (let action = due.shift(); action; action = due.shift()) act(action);
+    for (let next = queue.shift(); next; next = queue.shift()) performOne(next);
     isPerforming = false;
-    if (state.log.membership === followed) return;
-    followed = state.log.membership;
-    links.follow(followed, state.log.membershipIndex);
+    if (state.log.membership === membership) return;
+    membership = state.log.membership;
+    links.followMembership(membership, state.log.membershipIndex);
     logMembers();
     observeMembers();
   }
 
   function logMembers(): void {
-    const {voters, learners, replacement} = followed;
+    const {voters, learners, replacement} = membership;
     log.info('members', {
       voters: namesOf(voters),
       learners: namesOf(learners),
       leaving: replacement?.leaving,
-      // Of these the leader chooses who takes a lost voter's place.
+      // The processes from which the leader chooses the replacement of a lost
+      // voter.
       ready: namesOf(links.ready),
-      // Voters that may be lost at once with their disks.
+      // Number of voters that may be lost at once together with their disks.
       bearable: Math.ceil(voters.length / 2) - 1,
     });
   }
@@ -147,11 +150,11 @@
     for (const observe of memberObservers) observe();
   }
 
-  function act(action: Action): void {
+  function performOne(action: Action): void {
     switch (action.kind) {
       case 'send':
-        // A vote must be durable before anybody can count on it.
-        if (mustWait()) writer.push(action);
+        // A vote must be durable before another member relies on it.
+        if (mustQueueSends()) writer.push(action);
         else links.send(action.to, action.message);
         return;
       case 'save-vote':
@@ -168,7 +171,7 @@
         return replacements.check();
       case 'proposed':
         return proposals.onProposed(action);
-      case 'lead-lost':
+      case 'leadership-lost':
         proposals.abandon();
         return replacements.check();
       case 'barrier':
@@ -179,37 +182,39 @@
   }
 
   /**
-   * A machine that can't follow the others must not go on beside them: it would
-   * answer with a state that nobody accepted.
+   * A state machine that can't apply an entry must stop. Its state would differ
+   * from the others', and it would answer with changes that were never
+   * accepted.
    */
   function apply(index: number): void {
     try {
       applier.apply(index);
     } catch (error) {
       if (!(error instanceof Failure)) throw error;
-      fail(error);
+      failStop(error);
     }
   }
 
   function observeRole(): void {
-    const view = status();
-    const {role, term, leader} = view;
+    const current = status();
+    const {role, term, leader} = current;
     log.info('role', {role, term, leader: leader ?? null});
-    for (const observe of roleObservers) observe(view);
-    if (!isLeader()) retired?.();
+    for (const observe of roleObservers) observe(current);
+    if (!isLeader()) onHandedOver?.();
   }
 
   function tick(): void {
     handle({kind: 'tick'});
     reads.tick();
-    if (retired !== undefined && proposals.count === 0) {
+    if (onHandedOver !== undefined && proposals.count === 0) {
       handle({kind: 'hand-over'});
     }
-    // Between changes: lets a damaged last entry be told from a torn one.
+    // While idle, a sync mark is written so that damage to the last entry can
+    // be distinguished from an incomplete write.
     if (writer.isIdle && !storage.isMarked) writer.push({kind: 'mark'});
   }
 
-  /** Hands over the changes of one turn of the loop together. */
+  /** Proposes all changes of one event loop turn together. */
   function flush(): void {
     if (stopped !== undefined) return;
     if (!isLeader()) proposals.refuse(notLeader());
@@ -227,9 +232,9 @@
   }
 
   function refuseProposal(data: Uint8Array): Result<never> | undefined {
-    const {entryLimit, openLimit, openBytesLimit} = options;
+    const {entryLimit, pendingLimit, pendingBytesLimit} = options;
     if (stopped !== undefined) return stopped;
-    if (!isLeader() || retired !== undefined) return notLeader();
+    if (!isLeader() || onHandedOver !== undefined) return notLeader();
     if (data.length > entryLimit) {
       return failure(
         consensusCodes.entryTooLarge,
@@ -237,7 +242,7 @@
       );
     }
     const isFull =
-      proposals.count >= openLimit || proposals.bytes >= openBytesLimit;
+      proposals.count >= pendingLimit || proposals.bytes >= pendingBytesLimit;
     if (!isFull) return undefined;
     return failure(
       consensusCodes.overloaded,
@@ -251,15 +256,16 @@
   ): Promise<Result<void>> {
     if (stopped !== undefined) return stopped;
     if (!isLeader()) return notLeader();
-    const met = links.find(joining.name);
-    if (met === undefined) {
+    const connected = links.find(joining.name);
+    if (connected === undefined) {
       return failure(
         consensusCodes.memberUnreachable,
         `${joining.name} has not called; start it with this group's members in its settings`,
       );
     }
-    // The command gives its peer address; the rest it has told by itself.
-    const voter = {...met, ...joining};
+    // The command gives the peer address; the other addresses come from the
+    // hello.
+    const voter = {...connected, ...joining};
     const {answer, actions} = core.replace(leaving, voter, timers.now());
     perform(actions);
     if (answer === 'begun') return replacements.wait(leaving, joining.name);
@@ -268,20 +274,20 @@
   }
 
   /**
-   * A leader that stops lets its open changes end, then has another member lead,
-   * so that a planned stop costs no election timeout. A bound keeps a group
-   * without a fit member from delaying the stop.
+   * A leader that stops waits for its pending changes and then hands leadership
+   * over, so that a planned stop costs no election timeout. The wait is limited
+   * because the group may have no member that can take over.
    */
-  async function retire(): Promise<void> {
+  async function handOverLeadership(): Promise<void> {
     if (stopped !== undefined || !isLeader()) return;
     if (state.log.membership.voters.length === 1) return;
     await new Promise<void>(resolve => {
-      retired = resolve;
+      onHandedOver = resolve;
       timers.after(electionTimeout, resolve);
     });
   }
 
-  function fail(problem: Failure): void {
+  function failStop(problem: Failure): void {
     log.error(problem.message, {code: problem.code.number});
     void halt(failure(problem.code, problem.message));
     options.onFailure?.(problem);
@@ -310,10 +316,10 @@
     status,
     replace,
     onApplied: observe => applier.observe(observe),
-    onRole: observe => void roleObservers.push(observe),
-    onMembers: observe => void memberObservers.push(observe),
+    onRoleChange: observe => void roleObservers.push(observe),
+    onMembersChange: observe => void memberObservers.push(observe),
     async stop() {
-      await retire();
+      await handOverLeadership();
       await halt(
         failure(consensusCodes.stopped, 'this control process has stopped'),
       );
--- a/src/consensus/faults.test.ts
+++ b/src/consensus/faults.test.ts
@@ -7,11 +7,13 @@
 import {createTestGroup} from './fakes/group.js';
 import type {TestGroup} from './fakes/group.js';
 
-// Random faults, the same for the same seed: members die, alone or all at once,
-// and lose unsynced bytes, freeze, lose their disk, fail a sync; links are cut one way or both;
-// messages are dropped, doubled and crossed. Meanwhile changes are proposed and
-// a member is replaced. Whatever happens: one leader a term, all apply the same
-// entries in the same order, and what was accepted stays.
+// Injects random faults, which are the same for the same seed. Members are
+// killed, alone or all at once, and lose unsynced bytes; they freeze, lose
+// their disk, or fail a sync. Links are cut in one or both directions, and
+// messages are dropped, doubled and reordered. Meanwhile changes are proposed
+// and members replaced. There must be at most one leader per term, all members
+// must apply the same entries in the same order, and no accepted change may be
+// lost.
 
 const steps = 150;
 const size = 3;
@@ -25,13 +27,13 @@
   readonly replaced: number;
 }
 
-/** Notes every leader and every applied entry, and what contradicts itself. */
-function createWitness(group: TestGroup) {
+/** Records all leaders and applied entries, and reports contradictions. */
+function createObserver(group: TestGroup) {
   const violations: string[] = [];
   const leaders = new Map<number, string>();
   const entries = new Map<number, string>();
 
-  function noteEntries(name: string): void {
+  function recordEntries(name: string): void {
     for (const {index, text} of group.member(name).journal.entries) {
       const known = entries.get(index) ?? text;
       if (known !== text) violations.push(`${name}: ${index} is ${text}`);
@@ -39,7 +41,7 @@
     }
   }
 
-  function noteLeader(name: string, term: number): void {
+  function recordLeader(name: string, term: number): void {
     const known = leaders.get(term) ?? name;
     if (known !== name) violations.push(`term ${term}: ${known} and ${name}`);
     leaders.set(term, known);
@@ -54,14 +56,14 @@
         const last = group.member(name).journal.entries.at(-1);
         if (last === undefined) return;
         const known = entries.get(last.index) ?? last.text;
-        if (known !== last.text) noteEntries(name);
+        if (known !== last.text) recordEntries(name);
         entries.set(last.index, known);
       });
-      consensus!.onRole(({role, term}) => {
-        if (role === 'leader') noteLeader(name, term);
+      consensus!.onRoleChange(({role, term}) => {
+        if (role === 'leader') recordLeader(name, term);
       });
     },
-    noteEntries,
+    recordEntries,
   };
 }
 
@@ -77,7 +79,7 @@
     diskOptions: {syncTime: 4},
   });
   group.add('spare');
-  const witness = createWitness(group);
+  const observer = createObserver(group);
   const accepted: string[] = [];
   const frozen = new Set<string>();
   let proposed = 0;
@@ -91,16 +93,16 @@
     frozen.delete(name);
     const isStarted = await group.start(name).then(
       () => true,
-      // Its disk failed at once; it is started again later.
+      // The disk failed during the start; the member is started again later.
       (error: {code?: unknown}) => {
         if (error.code !== consensusCodes.syncFailed) throw error;
         return false;
       },
     );
-    if (isStarted) witness.watch(name);
+    if (isStarted) observer.watch(name);
   }
 
-  /** Stops a member in order, as a planned restart does. */
+  /** Stops a member in an orderly way, as in a planned restart. */
   async function stop(name: string): Promise<void> {
     await group.stop(name).catch(() => {});
     group.kill(name);
@@ -114,7 +116,9 @@
       .then(({ok}) => ok && accepted.push(text));
   }
 
-  /** Has the leader replace some voter by the member that is left out. */
+  /**
+   * Has the leader replace a random voter by the member that is not a voter.
+   */
   function replace(): void {
     const leader = group.leader();
     if (leader === undefined) return;
@@ -128,7 +132,7 @@
       .then(({ok}) => ok && replaced++);
   }
 
-  async function fault(name: string, kind: number): Promise<void> {
+  async function injectFault(name: string, kind: number): Promise<void> {
     if (kind === 0) group.kill(name, random);
     if (kind === 1) group.isolate(name);
     if (kind === 2) group.network.cut(name, random.pick(group.names));
@@ -142,12 +146,12 @@
       frozen.delete(name);
     }
     if (kind === 6 && isUp(name)) group.member(name).disk.failNextSync();
-    if (kind === 7 && isWhole(group)) {
+    if (kind === 7 && isHealthy(group)) {
       group.kill(name, random);
       group.member(name).disk.wipe();
     }
     if (kind === 10 || kind === 13) {
-      for (const one of group.names) group.kill(one, random);
+      for (const member of group.names) group.kill(member, random);
     }
     if (kind === 11 || kind === 12) replace();
     if (kind === 14 && isUp(name) && !frozen.has(name)) await stop(name);
@@ -169,34 +173,34 @@
     }
     for (const name of group.names) propose(name);
     await group.run(random.integer(1000));
-    await reap(group);
-    await fault(random.pick(group.names), random.integer(30));
+    await killFailedMembers(group);
+    await injectFault(random.pick(group.names), random.integer(30));
     if (random.integer(4) === 0) group.network.release(true);
   }
 
   await recover(group, start, frozen, random);
-  for (const name of group.names) witness.noteEntries(name);
+  for (const name of group.names) observer.recordEntries(name);
   const texts = group
     .member(group.leader()!)
     .journal.entries.map(({text}) => text);
   const digests = votersOf(group).map(name =>
     group.member(name).journal.digest(),
   );
-  if (new Set(digests).size > 1) witness.violations.push('digests differ');
+  if (new Set(digests).size > 1) observer.violations.push('digests differ');
   for (const text of accepted) {
-    const copies = texts.filter(one => one === text).length;
-    if (copies !== 1) witness.violations.push(`${text}: ${copies} copies`);
+    const copies = texts.filter(other => other === text).length;
+    if (copies !== 1) observer.violations.push(`${text}: ${copies} copies`);
   }
   return {
-    violations: witness.violations,
+    violations: observer.violations,
     accepted: accepted.length,
-    leaders: witness.leaders.size,
+    leaders: observer.leaders.size,
     replaced,
   };
 }
 
-/** Ends the lives of members whose disk has failed, as their process would. */
-async function reap(group: TestGroup): Promise<void> {
+/** Kills members whose disk has failed, as their process would exit. */
+async function killFailedMembers(group: TestGroup): Promise<void> {
   for (const name of group.names) {
     if (group.member(name).failure === undefined) continue;
     if (group.member(name).consensus !== undefined) group.kill(name);
@@ -204,7 +208,7 @@
   await settle();
 }
 
-/** Ends all faults and waits until every member holds everything. */
+/** Ends all faults and waits until all members hold the same entries. */
 async function recover(
   group: TestGroup,
   start: (name: string) => Promise<void>,
@@ -218,14 +222,14 @@
   for (let round = 0; round < recoveryRounds; round++) {
     await group.run(3000);
     if (isSettled(group)) return;
-    // A sync that was set to fail may do so only now.
-    await reap(group);
+    // A sync that was set to fail may fail only now.
+    await killFailedMembers(group);
     for (const name of group.names) await start(name);
   }
   throw new Error('the group did not recover');
 }
 
-/** The members that the one leader counts; none without such a leader. */
+/** The voters in the leader's membership; empty without exactly one leader. */
 function votersOf(group: TestGroup): string[] {
   const leader = group.leader();
   if (leader === undefined) return [];
@@ -234,23 +238,25 @@
 }
 
 /**
- * Whether all that count know each other as such, so that no disk is lost at
- * the moment. Only then may another one go.
+ * Whether all voters know each other as voters, which means that no disk is
+ * lost at present. Only then may another disk be lost.
  */
-function isWhole(group: TestGroup): boolean {
+function isHealthy(group: TestGroup): boolean {
   const voters = votersOf(group);
-  const isIn = voters.map(name => {
+  const areVoters = voters.map(name => {
     const view = group.member(name).consensus?.status();
     if (view === undefined || view.role === 'learner') return false;
     if (view.learners.length > 0) return false;
     return view.voters.every(voter => voters.includes(voter.name));
   });
-  return voters.length === size && isIn.every(Boolean);
+  return voters.length === size && areVoters.every(Boolean);
 }
 
-/** Whether, besides, all of them hold the same entries. */
+/**
+ * Whether the group is healthy and all voters have committed the same entries.
+ */
 function isSettled(group: TestGroup): boolean {
-  if (!isWhole(group)) return false;
+  if (!isHealthy(group)) return false;
   const commits = votersOf(group).map(
     name => group.member(name).consensus!.status().commitIndex,
   );
@@ -259,7 +265,7 @@
 
 const seeds = Array.from({length: 8}, (_, at) => at + 1);
 
-test('random faults lose and change nothing that was accepted', async t => {
+test('random faults neither lose nor change accepted entries', async t => {
   let accepted = 0;
   let leaders = 0;
   let replaced = 0;
@@ -276,14 +282,14 @@
   t.true(replaced > seeds.length);
 });
 
-// Where the search for a violation starts, which only saves time.
+// The seed at which the search for a violation starts; it only saves time.
 const mutants = [
   {name: 'syncBeforeAnswer', firstSeed: 10},
   {name: 'storageIdentity', firstSeed: 86},
 ] as const;
 
-test('the same faults do show what a missing safeguard costs', async t => {
-  // Else the test above could pass because it sees nothing.
+test('the same faults cause violations when a safeguard is missing', async t => {
+  // Otherwise the test above could pass because it detects nothing.
   for (const {name, firstSeed} of mutants) {
     let broken: number | undefined;
     for (let turn = 0; turn < mutantSeeds && broken === undefined; turn++) {
--- a/src/consensus/membership.test.ts
+++ b/src/consensus/membership.test.ts
@@ -12,8 +12,8 @@
 const textsOf = (group: TestGroup, name: string) =>
   group.member(name).journal.entries.map(({text}) => text);
 
-/** A group of three with two further members that have started and wait. */
-async function startWithSpares(): Promise<TestGroup> {
+/** Starts a group of three and two standbys. */
+async function startWithStandbys(): Promise<TestGroup> {
   const group = await startTestGroup(3, {snapshotEntries: 10});
   for (const name of ['d', 'e']) {
     group.add(name);
@@ -28,8 +28,8 @@
     .member(group.leader()!)
     .consensus!.replace(leaving, group.member(joining).member);
 
-test('a member is replaced and the new one holds all that was accepted', async t => {
-  const group = await startWithSpares();
+test('a member is replaced and the new one holds all accepted entries', async t => {
+  const group = await startWithStandbys();
   const leader = group.leader()!;
   const leaving = group.names.find(name => name !== leader)!;
   const result = await group.settled(replace(group, leaving, 'd'));
@@ -47,8 +47,8 @@
   t.is(textsOf(group, next).length, 17);
 });
 
-test('a dead member is replaced without it', async t => {
-  const group = await startWithSpares();
+test('a dead member can be replaced', async t => {
+  const group = await startWithStandbys();
   const leader = group.leader()!;
   const dead = group.names.find(name => name !== leader)!;
   group.kill(dead);
@@ -57,22 +57,23 @@
   t.is(votersOf(group, leader).length, 3);
 });
 
-test('two replacements at once are refused', async t => {
-  // Two operators each replace a VM. Done together, two majorities could form
-  // that share no member, and each could accept changes of its own.
-  const group = await startWithSpares();
+test('a second replacement at the same time is refused', async t => {
+  // Two operators each replace a VM. If both replacements ran at once, two
+  // majorities without a common member could form, and each could accept
+  // different changes.
+  const group = await startWithStandbys();
   const leader = group.leader()!;
-  const [one, other] = group.names.filter(name => name !== leader);
-  const first = replace(group, one!, 'd');
-  const second = await group.settled(replace(group, other!, 'e'));
-  t.false(second.ok);
-  if (!second.ok) t.is(second.code, consensusCodes.replacementRunning);
-  t.true((await group.settled(first)).ok);
-  t.true((await group.settled(replace(group, other!, 'e'))).ok);
+  const [first, second] = group.names.filter(name => name !== leader);
+  const firstCall = replace(group, first!, 'd');
+  const result = await group.settled(replace(group, second!, 'e'));
+  t.false(result.ok);
+  if (!result.ok) t.is(result.code, consensusCodes.replacementRunning);
+  t.true((await group.settled(firstCall)).ok);
+  t.true((await group.settled(replace(group, second!, 'e'))).ok);
 });
 
-test('the leader replaces itself and the others go on', async t => {
-  const group = await startWithSpares();
+test('the leader can be replaced and the others continue', async t => {
+  const group = await startWithStandbys();
   const old = group.leader()!;
   const result = await group.settled(replace(group, old, 'd'));
   t.true(result.ok);
@@ -83,10 +84,10 @@
   t.false(votersOf(group, next).includes(old));
 });
 
-test('a new leader goes on with the replacement of the old one', async t => {
-  // The leader is cut off while the joining member still catches up. Left
-  // unfinished, the replacement would block every later one.
-  const group = await startWithSpares();
+test('a new leader continues the replacement that the old one began', async t => {
+  // The leader is isolated while the joining member is still catching up. If
+  // the replacement remained unfinished, it would block every later one.
+  const group = await startWithStandbys();
   const old = group.leader()!;
   const leaving = group.names.find(name => name !== old)!;
   group.network.cut('d', old);
@@ -106,8 +107,8 @@
   t.pass();
 });
 
-test('unknown, present and silent members are refused with their own codes', async t => {
-  const group = await startWithSpares();
+test('unknown, present and unreachable members are refused with their own result codes', async t => {
+  const group = await startWithStandbys();
   group.add('f');
   const cases = [
     ['x', 'd', consensusCodes.memberUnknown],
@@ -121,8 +122,8 @@
   }
 });
 
-test('a joining member that falls silent is given up', async t => {
-  const group = await startWithSpares();
+test('a joining member that stops answering is removed', async t => {
+  const group = await startWithStandbys();
   const leader = group.leader()!;
   const leaving = group.names.find(name => name !== leader)!;
   group.network.cut('d', leader);
@@ -134,10 +135,10 @@
   t.true((await group.settled(replace(group, leaving, 'e'))).ok);
 });
 
-test('a member that died again during its repair can be replaced', async t => {
-  // A voter came back empty, became a learner and died for good. It must not
-  // stand in the way of its own replacement.
-  const group = await startWithSpares();
+test('a voter that dies again while it is a learner can be replaced', async t => {
+  // A voter restarted with an empty folder, became a learner and died
+  // permanently. It must not block its own replacement.
+  const group = await startWithStandbys();
   const leader = group.leader()!;
   const dead = group.names.find(name => name !== leader)!;
   group.kill(dead);
@@ -159,16 +160,16 @@
   t.is(votersOf(group, leader).length, 3);
 });
 
-test('a leaving member that comes back empty meanwhile still leaves', async t => {
-  // It is a learner again when its replacement completes. Left among the
-  // learners it would be counted once more, and the group would stay at four.
-  const group = await startWithSpares();
+test('a leaving member that restarts with an empty folder is still removed', async t => {
+  // It is a learner when its replacement completes. If it stayed a learner, it
+  // would become a voter again, and the group would keep four voters.
+  const group = await startWithStandbys();
   const leader = group.leader()!;
   const leaving = group.names.find(name => name !== leader)!;
-  const mute = new Set(['d', leaving]);
+  const muted = new Set(['d', leaving]);
   group.network.decide((source, _target, message) => {
     const {kind} = message as {kind: string};
-    return mute.has(source) && kind === 'appended' ? 'drop' : 'deliver';
+    return muted.has(source) && kind === 'appended' ? 'drop' : 'deliver';
   });
   const call = replace(group, leaving, 'd');
   await group.run(200);
@@ -177,22 +178,23 @@
   await group.start(leaving);
   const view = () => group.member(leader).consensus!.status();
   await group.until(() => view().learners.length === 2);
-  mute.delete('d');
+  muted.delete('d');
   t.true((await group.settled(call)).ok);
-  mute.clear();
+  muted.clear();
   await group.run(3000);
   t.false(votersOf(group, leader).includes(leaving));
   t.deepEqual([view().voters.length, view().learners.length], [3, 0]);
 });
 
-test('a joined member is known with all its addresses, also after restarts without it', async t => {
-  // The command names the peer address alone. Operators who are refused by an
-  // old member are sent on only if it knows the new leader's other addresses;
-  // it must still know them when it starts again while the new one is down.
-  const group = await startWithSpares();
+test('all addresses of a joined member are known, also after restarts while it is down', async t => {
+  // The command gives only the peer address. An old member can redirect
+  // operators to a new leader only if it knows the new member's other
+  // addresses, and it must still know them after a restart while the new member
+  // is down.
+  const group = await startWithStandbys();
   const leader = group.leader()!;
   const leaving = group.names.find(name => name !== leader)!;
-  const {name, address, failureDomain, ...told} = group.member('d').member;
+  const {name, address, failureDomain, ...announced} = group.member('d').member;
   const joining = {name, address, failureDomain};
   const replaced = group.member(leader).consensus!.replace(leaving, joining);
   t.true((await group.settled(replaced)).ok);
@@ -207,19 +209,19 @@
     const {voters} = group.member(other).consensus!.status();
     t.like(
       voters.find(voter => voter.name === 'd'),
-      told,
+      announced,
     );
   }
 });
 
-test('observers hear of a joined member', async t => {
-  const group = await startWithSpares();
+test('observers are called when a member has joined', async t => {
+  const group = await startWithStandbys();
   const leader = group.leader()!;
   const other = group.names.find(name => name !== leader)!;
   const last = group.names.find(name => ![leader, other].includes(name))!;
   const {consensus} = group.member(other);
   const seen = new Set<string>();
-  consensus!.onMembers(() => {
+  consensus!.onMembersChange(() => {
     for (const voter of consensus!.status().voters) seen.add(voter.name);
   });
   t.true((await group.settled(replace(group, last, 'd'))).ok);
@@ -229,7 +231,7 @@
 
 const replaceLostAfter = 2_000;
 
-/** A group of three that replaces lost voters, and one that waits to join. */
+/** Starts a group of three that replaces lost voters, and one standby. */
 async function startSelfHealing(): Promise<TestGroup> {
   const group = await startTestGroup(3, {
     snapshotEntries: 10,
@@ -244,10 +246,11 @@
 const othersOf = (group: TestGroup) =>
   ['a', 'b', 'c'].filter(name => name !== group.leader());
 
-test('a voter that is gone for good is replaced, and the next loss is borne', async t => {
-  // A control VM is taken away and an empty one comes at another address. Left
-  // at two of three, the group accepts nothing once a disk of these two stalls:
-  // operators' changes wait without an answer though one VM alone is at fault.
+test('a voter that is permanently lost is replaced, and the next loss is tolerated', async t => {
+  // A control VM is removed and an empty one starts at another address. With
+  // two of three voters the group accepts nothing once a disk of these two
+  // stalls, and operators' changes are not answered although only one VM is
+  // faulty.
   const group = await startSelfHealing();
   const leader = group.leader()!;
   const [lost, other] = othersOf(group);
@@ -258,44 +261,44 @@
   t.true((await group.propose(leader, 'after')).ok);
 });
 
-test('while all voters are heard, a process that waits stays outside', async t => {
+test('while all voters answer, a standby does not join', async t => {
   const group = await startSelfHealing();
   await group.run(4 * replaceLostAfter);
   t.deepEqual(votersOf(group, group.leader()!).sort(), ['a', 'b', 'c']);
 });
 
-test('a voter that is silent for less is not replaced', async t => {
+test('a voter that returns before the timeout is not replaced', async t => {
   const group = await startSelfHealing();
   const leader = group.leader()!;
-  const [quiet] = othersOf(group);
-  group.kill(quiet!);
+  const [silent] = othersOf(group);
+  group.kill(silent!);
   await group.run(replaceLostAfter / 2);
-  await group.start(quiet!);
+  await group.start(silent!);
   await group.run(2 * replaceLostAfter);
-  t.true(votersOf(group, leader).includes(quiet!));
+  t.true(votersOf(group, leader).includes(silent!));
 });
 
-test('a voter that stood still and was replaced comes back as one that waits', async t => {
-  // It still believes that it votes. The group no longer counts it; its
-  // candidacy must not end the term that works, and it takes the place of the
-  // next that is lost.
+test('a voter that was down and was replaced returns as a standby', async t => {
+  // According to its own log it is still a voter, but the group no longer
+  // counts it. Its candidacy must not depose the leader, and it replaces the
+  // next lost voter.
   const group = await startSelfHealing();
   const leader = group.leader()!;
-  const [slow, other] = othersOf(group);
-  group.kill(slow!);
+  const [replaced, other] = othersOf(group);
+  group.kill(replaced!);
   await group.until(() => votersOf(group, leader).includes('d'));
   await group.until(() => votersOf(group, leader).length === 3);
-  await group.start(slow!);
+  await group.start(replaced!);
   await group.run(2 * replaceLostAfter);
   t.is(group.leader(), leader);
   group.kill(other!);
-  await group.until(() => votersOf(group, leader).includes(slow!));
+  await group.until(() => votersOf(group, leader).includes(replaced!));
   await group.until(() => !votersOf(group, leader).includes(other!));
   t.true((await group.propose(leader, 'after')).ok);
 });
 
-test('without the setting a lost voter keeps its place', async t => {
-  const group = await startWithSpares();
+test('without the setting a lost voter is not replaced', async t => {
+  const group = await startWithStandbys();
   const leader = group.leader()!;
   const [lost] = othersOf(group);
   group.kill(lost!);
--- a/src/consensus/progress.ts
+++ b/src/consensus/progress.ts
@@ -1,36 +1,39 @@
 import type {Voter} from './messages.js';
 
 /**
- * How a follower is fed.
- * - `probe`: one append at a time until one fits its log.
- * - `stream`: batches ahead of the acknowledgements, within a window.
- * - `snapshot`: the log no longer reaches it; parts of a snapshot, one by one.
+ * How the leader replicates to a follower.
+ * - `probe`: one append request at a time until one matches the follower's log.
+ * - `stream`: batches are sent ahead of the acknowledgements, up to a limit.
+ * - `snapshot`: the entries that the follower needs are compacted away; parts
+ *   of a snapshot are sent one at a time.
  */
-export type Feed = 'probe' | 'stream' | 'snapshot';
+export type ReplicationMode = 'probe' | 'stream' | 'snapshot';
 
-/** What the leader knows of one follower or learner. */
+/** The leader's replication state for one follower or learner. */
 export interface Progress {
   readonly peer: Voter;
-  feed: Feed;
+  mode: ReplicationMode;
   /** Index of the next entry to send. */
-  next: number;
-  /** Synced there and equal to the own log up to here. */
-  match: number;
-  /** Last index of each batch sent and not acknowledged. */
-  batches: number[];
-  /** Bytes of the snapshot that are there. */
+  nextIndex: number;
+  /**
+   * The follower's log is synced and equal to the leader's up to this index.
+   */
+  matchIndex: number;
+  /** Last index of each batch that was sent and is not acknowledged. */
+  pendingBatches: number[];
+  /** Bytes of the snapshot that the follower has received. */
   offset: number;
   /** Index of the snapshot being sent. */
   snapshotIndex: number;
-  /** When an answer last came. */
-  heardAt: number;
-  /** When a probe or snapshot part left that has no answer yet. */
+  /** When the last answer was received. */
+  contactAt: number;
+  /** When the probe or snapshot part was sent whose answer is outstanding. */
   waitingSince: number | undefined;
-  /** Latest quorum round it answered. */
-  round: number;
+  /** Latest quorum round that the follower answered. */
+  answeredRound: number;
 }
 
-/** Creates what is known of a member at the start of a term. */
+/** Creates the replication state for a member at the start of a term. */
 export function createProgress(
   peer: Voter,
   lastIndex: number,
@@ -38,14 +41,14 @@
 ): Progress {
   return {
     peer,
-    feed: 'probe',
-    next: lastIndex + 1,
-    match: 0,
-    batches: [],
+    mode: 'probe',
+    nextIndex: lastIndex + 1,
+    matchIndex: 0,
+    pendingBatches: [],
     offset: 0,
     snapshotIndex: 0,
-    heardAt: now,
+    contactAt: now,
     waitingSince: undefined,
-    round: 0,
+    answeredRound: 0,
   };
 }
--- a/src/consensus/replication.ts
+++ b/src/consensus/replication.ts
@@ -1,9 +1,15 @@
-import type {Appended, Entry, Peer, SnapshotTaken, Voter} from './messages.js';
+import type {
+  AppendAnswer,
+  Entry,
+  Peer,
+  SnapshotPartAnswer,
+  Voter,
+} from './messages.js';
 import {
   adoptTerm,
   appendEntries,
   commitTo,
-  isSame,
+  isSamePeer,
   majorityOf,
   membershipOf,
   roleOf,
@@ -14,59 +20,65 @@
 import {createProgress} from './progress.js';
 import type {Progress} from './progress.js';
 
-/** Most entries in one append. */
-const batchEntries = 256;
-/** About the most bytes in one append; one larger entry still goes alone. */
-const batchBytes = 128 * 1024;
-/** Most batches on their way to one follower without an acknowledgement. */
-const windowBatches = 8;
-/** Bytes of a snapshot in one message. */
-const partBytes = 128 * 1024;
+/** Maximum number of entries in one append request. */
+const maxBatchEntries = 256;
+/**
+ * Approximate maximum size of an append request; a larger entry is sent alone.
+ */
+const maxBatchBytes = 128 * 1024;
+/** Maximum number of unacknowledged batches per follower. */
+const maxPendingBatches = 8;
+/** Size of one part of a snapshot in bytes. */
+const snapshotPartBytes = 128 * 1024;
 
-/** The leader's side of replication. */
+/** The sending side of replication, in the leader. */
 export interface Replication {
-  /** Begins a term as its leader. */
-  start(): void;
-  /** Index of the entry that began this term. */
-  readonly startIndex: number;
+  /** Starts a term as its leader. */
+  startTerm(): void;
+  /** Index of the first entry of this leader's term. */
+  readonly termStartIndex: number;
   tick(): void;
   append(entries: Entry[]): void;
-  /** Takes note that own entries were synced. */
+  /** Called when entries of the leader's own log were synced. */
   onSynced(): void;
-  onAppended(from: Peer, message: Appended): void;
-  onSnapshotTaken(from: Peer, message: SnapshotTaken): void;
-  /** Sends heartbeats now, under a new round number, which it returns. */
+  onAppendAnswer(from: Peer, message: AppendAnswer): void;
+  onSnapshotPartAnswer(from: Peer, message: SnapshotPartAnswer): void;
+  /**
+   * Sends heartbeats at once, with a new quorum round number, and returns it.
+   */
   beginRound(): number;
-  /** Whether a majority answered a round. */
-  isRoundOver(round: number): boolean;
+  /** Whether a majority has answered a quorum round. */
+  isRoundDone(round: number): boolean;
   progressOf(name: string): Progress | undefined;
-  /** Asks a voter that holds the whole log to lead, if there is one. */
+  /**
+   * Asks a reachable voter whose log is complete to take over, if there is one.
+   */
   handOver(): void;
 }
 
-/** Creates the leader's part. */
+/** Creates the sending side of replication. */
 export function createReplication(state: CoreState): Replication {
   const {self, heartbeat, electionTimeout, safeguards} = state.options;
   let members = new Map<string, Progress>();
   let startIndex = 0;
   let round = 0;
-  let beatAt = -Infinity;
+  let lastHeartbeatAt = -Infinity;
 
   function refresh(): void {
     const {voters, learners} = membershipOf(state);
-    const kept = new Map<string, Progress>();
+    const refreshed = new Map<string, Progress>();
     for (const peer of [...voters, ...learners]) {
       if (peer.name === self.name) continue;
-      const known = members.get(peer.name);
-      const isKept = known?.peer.storage === peer.storage;
-      const fresh = () => createProgress(peer, state.log.lastIndex, state.now);
-      kept.set(peer.name, isKept ? known : fresh());
+      const previous = members.get(peer.name);
+      const isKept = previous?.peer.storage === peer.storage;
+      const create = () => createProgress(peer, state.log.lastIndex, state.now);
+      refreshed.set(peer.name, isKept ? previous : create());
     }
-    members = kept;
+    members = refreshed;
   }
 
   function sendAppend(progress: Progress, entries: readonly Entry[]): void {
-    const previousIndex = progress.next - 1;
+    const previousIndex = progress.nextIndex - 1;
     send(state, progress.peer.name, {
       kind: 'append',
       term: state.term,
@@ -79,24 +91,25 @@
   }
 
   function stream(progress: Progress): boolean {
-    const first = progress.next;
-    // Without a bound, a follower that stalls makes the leader hold and send
-    // its whole backlog again and again, until it serves nobody in time.
-    const window = safeguards.flowControl ? windowBatches : Infinity;
+    const first = progress.nextIndex;
+    // Without a limit, a stalled follower makes the leader buffer and resend
+    // its whole backlog repeatedly, until it can't answer the other members in
+    // time.
+    const window = safeguards.flowControl ? maxPendingBatches : Infinity;
     while (
-      progress.next <= state.log.lastIndex &&
-      progress.batches.length < window
+      progress.nextIndex <= state.log.lastIndex &&
+      progress.pendingBatches.length < window
     ) {
       const entries = nextBatch(progress);
       sendAppend(progress, entries);
-      progress.next = entries.at(-1)!.index + 1;
-      progress.batches.push(progress.next - 1);
+      progress.nextIndex = entries.at(-1)!.index + 1;
+      progress.pendingBatches.push(progress.nextIndex - 1);
     }
-    return progress.next > first;
+    return progress.nextIndex > first;
   }
 
   const nextBatch = (progress: Progress) =>
-    state.log.after(progress.next - 1, batchEntries, batchBytes);
+    state.log.after(progress.nextIndex - 1, maxBatchEntries, maxBatchBytes);
 
   function probe(progress: Progress): void {
     if (progress.waitingSince !== undefined) return;
@@ -104,7 +117,7 @@
     sendAppend(progress, nextBatch(progress));
   }
 
-  function sendPart(progress: Progress): void {
+  function sendSnapshotPart(progress: Progress): void {
     if (progress.waitingSince !== undefined) return;
     const {snapshot} = state;
     if (progress.snapshotIndex !== snapshot.index) progress.offset = 0;
@@ -119,127 +132,131 @@
       membership: snapshot.membership,
       offset,
       size: snapshot.data.length,
-      data: snapshot.data.subarray(offset, offset + partBytes),
+      data: snapshot.data.subarray(offset, offset + snapshotPartBytes),
       round,
     });
   }
 
-  /** Entries that the log has dropped can only come as a snapshot. */
-  function chooseFeed(progress: Progress): void {
-    if (progress.next <= state.log.baseIndex) progress.feed = 'snapshot';
+  /** A follower that needs compacted entries must receive a snapshot. */
+  function updateMode(progress: Progress): void {
+    if (progress.nextIndex <= state.log.baseIndex) progress.mode = 'snapshot';
   }
 
-  /** Sends what may be sent; true when an append went out. */
-  function feed(progress: Progress): boolean {
-    chooseFeed(progress);
-    if (progress.feed === 'stream') return stream(progress);
-    if (progress.feed === 'snapshot') sendPart(progress);
+  /** Sends what the mode allows; returns whether entries were streamed. */
+  function replicateTo(progress: Progress): boolean {
+    updateMode(progress);
+    if (progress.mode === 'stream') return stream(progress);
+    if (progress.mode === 'snapshot') sendSnapshotPart(progress);
     else probe(progress);
     return false;
   }
 
-  function feedAll(): void {
-    for (const progress of members.values()) feed(progress);
+  function replicateToAll(): void {
+    for (const progress of members.values()) replicateTo(progress);
   }
 
-  function beat(): void {
-    beatAt = state.now;
+  function sendHeartbeats(): void {
+    lastHeartbeatAt = state.now;
     for (const progress of members.values()) {
-      const since = progress.waitingSince;
-      const isLost =
-        since !== undefined && state.now - since >= electionTimeout;
-      if (isLost) progress.waitingSince = undefined;
-      chooseFeed(progress);
-      if (progress.feed === 'snapshot') sendPart(progress);
+      const sentAt = progress.waitingSince;
+      const isOverdue =
+        sentAt !== undefined && state.now - sentAt >= electionTimeout;
+      if (isOverdue) progress.waitingSince = undefined;
+      updateMode(progress);
+      if (progress.mode === 'snapshot') sendSnapshotPart(progress);
       else sendAppend(progress, []);
     }
   }
 
   function matchOf(voter: Voter): number {
-    if (isSame(state, voter, self)) return state.syncedIndex;
-    return members.get(voter.name)?.match ?? 0;
+    if (isSamePeer(state, voter, self)) return state.syncedIndex;
+    return members.get(voter.name)?.matchIndex ?? 0;
   }
 
   /**
-   * Commits what a majority has synced. Entries of earlier terms are only
-   * committed by one of this term: counted alone, a majority's copies of an
-   * old entry could still be overwritten by a later leader.
+   * Commits the entries that a majority has synced. Entries of earlier terms
+   * are committed only together with an entry of this term, because an old
+   * entry that a majority holds can still be overwritten by a later leader.
    */
   function advanceCommit(): void {
     const matches = membershipOf(state).voters.map(matchOf);
     matches.sort((left, right) => right - left);
     const index = matches[majorityOf(state) - 1]!;
     if (index <= state.commitIndex) return;
-    const isOwn = state.log.termAt(index) === state.term;
-    if (!isOwn && safeguards.ownTermCommit) return;
+    const isOwnTerm = state.log.termAt(index) === state.term;
+    if (!isOwnTerm && safeguards.ownTermCommit) return;
     commitTo(state, index);
     for (const progress of members.values()) {
-      const isIdle = progress.feed === 'stream' && !feed(progress);
-      if (isIdle && progress.next > state.log.lastIndex) {
+      const isIdle = progress.mode === 'stream' && !replicateTo(progress);
+      if (isIdle && progress.nextIndex > state.log.lastIndex) {
         sendAppend(progress, []);
       }
     }
   }
 
   /**
-   * A leader whose answers no longer come back may have been replaced without
-   * hearing of it; it stops, so that its callers look for the real one.
+   * A leader that receives no answers of a majority may have been replaced
+   * without being notified. It steps down so that its callers look for the
+   * present leader.
    */
   function checkQuorum(): void {
     if (!safeguards.checkQuorum) return;
-    const heard = membershipOf(state).voters.filter(voter => {
-      if (isSame(state, voter, self)) return true;
-      const at = members.get(voter.name)?.heardAt ?? -Infinity;
-      return state.now - at < electionTimeout;
+    const reachable = membershipOf(state).voters.filter(voter => {
+      if (isSamePeer(state, voter, self)) return true;
+      const contactAt = members.get(voter.name)?.contactAt ?? -Infinity;
+      return state.now - contactAt < electionTimeout;
     });
-    if (heard.length < majorityOf(state)) stepDown(state);
+    if (reachable.length < majorityOf(state)) stepDown(state);
   }
 
-  /** The member behind an answer of this term, or undefined. */
-  function findAnswerer(
+  /** The member that sent an answer in this term, or undefined. */
+  function findSender(
     from: Peer,
-    message: Appended | SnapshotTaken,
+    message: AppendAnswer | SnapshotPartAnswer,
   ): Progress | undefined {
     adoptTerm(state, message.term);
     if (roleOf(state) !== 'leader' || message.term !== state.term) return;
     const progress = members.get(from.name);
     if (progress === undefined) return;
-    if (!isSame(state, progress.peer, from)) return;
-    progress.heardAt = state.now;
-    progress.round = Math.max(progress.round, message.round);
+    if (!isSamePeer(state, progress.peer, from)) return;
+    progress.contactAt = state.now;
+    progress.answeredRound = Math.max(progress.answeredRound, message.round);
     return progress;
   }
 
   function onAccepted(progress: Progress, matchIndex: number): void {
-    if (progress.feed === 'probe') progress.waitingSince = undefined;
-    const isReached = matchIndex >= progress.snapshotIndex;
-    if (progress.feed !== 'snapshot' || isReached) progress.feed = 'stream';
-    if (matchIndex > progress.match) progress.match = matchIndex;
-    progress.next = Math.max(progress.next, progress.match + 1);
-    const {match} = progress;
-    progress.batches = progress.batches.filter(last => last > match);
+    if (progress.mode === 'probe') progress.waitingSince = undefined;
+    const hasSnapshot = matchIndex >= progress.snapshotIndex;
+    if (progress.mode !== 'snapshot' || hasSnapshot) progress.mode = 'stream';
+    if (matchIndex > progress.matchIndex) progress.matchIndex = matchIndex;
+    progress.nextIndex = Math.max(progress.nextIndex, progress.matchIndex + 1);
+    const {matchIndex: acknowledged} = progress;
+    progress.pendingBatches = progress.pendingBatches.filter(
+      lastIndex => lastIndex > acknowledged,
+    );
     advanceCommit();
   }
 
-  function onRefused(progress: Progress, message: Appended): void {
-    if (progress.feed === 'snapshot') return;
-    if (message.previousIndex <= progress.match) return;
-    const hint = Math.min(message.matchIndex + 1, message.previousIndex);
-    progress.next = Math.max(progress.match + 1, hint);
-    progress.batches = [];
+  function onRefused(progress: Progress, message: AppendAnswer): void {
+    if (progress.mode === 'snapshot') return;
+    if (message.previousIndex <= progress.matchIndex) return;
+    const nextTry = Math.min(message.matchIndex + 1, message.previousIndex);
+    progress.nextIndex = Math.max(progress.matchIndex + 1, nextTry);
+    progress.pendingBatches = [];
     progress.waitingSince = undefined;
-    // A folder without a group has no log to append to, not even an empty one.
-    progress.feed = message.matchIndex < 0 ? 'snapshot' : 'probe';
+    // A negative index means that the member's data folder belongs to no group.
+    // It has no log yet, so it needs a snapshot.
+    progress.mode = message.matchIndex < 0 ? 'snapshot' : 'probe';
   }
 
   return {
-    get startIndex() {
+    get termStartIndex() {
       return startIndex;
     },
-    start() {
+    startTerm() {
       members = new Map();
       round = 0;
-      beatAt = state.now;
+      lastHeartbeatAt = state.now;
       startIndex = state.log.lastIndex + 1;
       refresh();
       this.append([{kind: 'no-op', index: startIndex, term: state.term}]);
@@ -247,58 +264,59 @@
     append(entries) {
       appendEntries(state, entries);
       refresh();
-      feedAll();
+      replicateToAll();
       advanceCommit();
     },
     tick() {
       checkQuorum();
       if (roleOf(state) !== 'leader') return;
-      if (state.now - beatAt >= heartbeat) beat();
+      if (state.now - lastHeartbeatAt >= heartbeat) sendHeartbeats();
     },
     onSynced() {
       advanceCommit();
     },
-    onAppended(from, message) {
-      const progress = findAnswerer(from, message);
+    onAppendAnswer(from, message) {
+      const progress = findSender(from, message);
       if (progress === undefined) return;
       if (message.accepted) onAccepted(progress, message.matchIndex);
       else onRefused(progress, message);
-      feed(progress);
+      replicateTo(progress);
     },
-    onSnapshotTaken(from, message) {
-      const progress = findAnswerer(from, message);
-      if (progress === undefined || progress.feed !== 'snapshot') return;
+    onSnapshotPartAnswer(from, message) {
+      const progress = findSender(from, message);
+      if (progress === undefined || progress.mode !== 'snapshot') return;
       if (message.index !== progress.snapshotIndex) return;
       progress.offset = message.offset;
       progress.waitingSince = undefined;
       const isWhole = message.offset >= state.snapshot.data.length;
-      // Whole: wait for it to be durable, which an `appended` tells.
+      // After the last part the follower sends an `appended` message once the
+      // snapshot is durable.
       if (isWhole) progress.waitingSince = state.now;
-      else sendPart(progress);
+      else sendSnapshotPart(progress);
     },
     beginRound() {
       round++;
-      beat();
+      sendHeartbeats();
       return round;
     },
-    isRoundOver(wanted) {
+    isRoundDone(askedRound) {
       if (!safeguards.quorumRead) return true;
       const answered = membershipOf(state).voters.filter(
         voter =>
-          isSame(state, voter, self) ||
-          (members.get(voter.name)?.round ?? 0) >= wanted,
+          isSamePeer(state, voter, self) ||
+          (members.get(voter.name)?.answeredRound ?? 0) >= askedRound,
       );
       return answered.length >= majorityOf(state);
     },
     progressOf: name => members.get(name),
     handOver() {
-      const heir = membershipOf(state).voters.find(({name}) => {
+      const successor = membershipOf(state).voters.find(({name}) => {
         const progress = members.get(name);
-        if (progress?.match !== state.log.lastIndex) return false;
-        return state.now - progress.heardAt < electionTimeout;
+        if (progress?.matchIndex !== state.log.lastIndex) return false;
+        return state.now - progress.contactAt < electionTimeout;
       });
-      if (heir === undefined) return;
-      send(state, heir.name, {kind: 'take-over', term: state.term});
+      if (successor === undefined) return;
+      send(state, successor.name, {kind: 'take-over', term: state.term});
     },
   };
 }
--- a/src/consensus/storage-log.test.ts
+++ b/src/consensus/storage-log.test.ts
@@ -6,7 +6,7 @@
 import {consensusCodes} from './codes.js';
 import type {Entry} from './messages.js';
 import {createStorageLog, openStorageLog} from './storage-log.js';
-import type {FoundLog} from './storage-log.js';
+import type {OpenedLog} from './storage-log.js';
 
 const entry = (index: number, term = 1): Entry => ({
   kind: 'command',
@@ -15,15 +15,17 @@
   data: Buffer.from(`change ${index} of term ${term}`),
 });
 
-const indexesOf = (found: FoundLog) => found.entries.map(({index}) => index);
+const indexesOf = (found: OpenedLog) => found.entries.map(({index}) => index);
 
-async function createLog(disk: FakeDisk): Promise<FoundLog> {
+async function createLog(disk: FakeDisk): Promise<OpenedLog> {
   const folder = disk.open();
   await createStorageLog(folder, 0, 0);
   return openStorageLog(folder);
 }
 
-/** A log of three synced batches; with `mark`, the last one is noted too. */
+/**
+ * Writes three synced batches; with `mark` also a sync mark for the last one.
+ */
 async function writeThree(disk: FakeDisk, mark: boolean): Promise<void> {
   const {log} = await createLog(disk);
   for (const index of [1, 2, 3]) {
@@ -33,12 +35,12 @@
   if (mark) await log.mark();
 }
 
-// An error of verror is no native one, hence `any`.
+// `any` is needed because an error of verror is not a native error.
 const isDamaged = {instanceOf: Failure, message: /damaged/, any: true} as const;
 
-test('a torn tail is cut: all synced entries stay, whatever was torn', async t => {
-  // The VM loses power while a batch is on its way to the disk. Any part of
-  // the batch may be there, often half a record. None of it was acknowledged.
+test('an incomplete last write is truncated and all synced entries are kept', async t => {
+  // The VM loses power while a batch is written. The disk may hold any part of
+  // the batch, often half a record. None of it was acknowledged.
   for (let seed = 0; seed < 50; seed++) {
     const disk = createFakeDisk();
     const {log} = await createLog(disk);
@@ -57,35 +59,37 @@
   }
 });
 
-test('damage before the synced point refuses to start; unchecked it loses accepted entries', async t => {
-  // A bit flips in the middle of the file. Taken for a torn tail, the entries
-  // after it would be cut although they were synced and acknowledged.
+test('damage to synced entries refuses to start; unchecked it loses accepted entries', async t => {
+  // A bit flips in the middle of the file. If this were treated as an
+  // incomplete write, the entries after it would be truncated although they
+  // were synced and acknowledged.
   const disk = createFakeDisk();
   await writeThree(disk, false);
-  disk.flip('log', 60);
+  disk.flipBit('log', 60);
   const failure = await t.throwsAsync(openStorageLog(disk.open()), isDamaged);
   t.is((failure as unknown as Failure).code, consensusCodes.logDamaged);
   const unchecked = await openStorageLog(disk.open(), false);
   t.true(unchecked.entries.length < 3);
 });
 
-test('damage in the very last entry is told from a torn one by the mark', async t => {
-  // Nothing follows the last entry, so only a mark can tell that it was synced.
-  // Without the mark it looks like a torn tail, and an accepted change goes.
+test('a sync mark distinguishes a damaged last entry from an incomplete write', async t => {
+  // Nothing follows the last entry, so only a sync mark shows that it was
+  // synced. Without the mark it looks like an incomplete write, and an accepted
+  // change is lost.
   const size = 60;
   const marked = createFakeDisk();
   await writeThree(marked, true);
-  marked.flip('log', -size);
+  marked.flipBit('log', -size);
   await t.throwsAsync(openStorageLog(marked.open()), isDamaged);
 
   const unmarked = createFakeDisk();
   await writeThree(unmarked, false);
-  unmarked.flip('log', -1);
+  unmarked.flipBit('log', -1);
   const found = await openStorageLog(unmarked.open());
   t.deepEqual(indexesOf(found), [1, 2]);
 });
 
-test('a cut entry stays away and its index can be written again', async t => {
+test('a truncated entry does not reappear and its index can be written again', async t => {
   const disk = createFakeDisk();
   await writeThree(disk, true);
   const {log} = await openStorageLog(disk.open());
@@ -103,7 +107,7 @@
   );
 });
 
-test('a compacted log keeps its tail and gives the rest back to the disk', async t => {
+test('a compacted log keeps its last entries and frees the space of the others', async t => {
   const disk = createFakeDisk();
   await writeThree(disk, true);
   const before = disk.size('log');
