--- a/bench/experiments/request-balance.ts
+++ b/bench/experiments/request-balance.ts
@@ -12,8 +12,8 @@
 } from '../../src/request/decisions/balancer.js';
 import type {Balancer} from '../../src/request/decisions/balancer.js';
 import {requestCodes} from '../../src/request/messages/codes.js';
-import {createPeers} from '../../src/request/decisions/peers.js';
-import type {Peers} from '../../src/request/decisions/peers.js';
+import {createInstancePool} from '../../src/request/decisions/instance-pool.js';
+import type {InstancePool} from '../../src/request/decisions/instance-pool.js';
 import type {Configuration} from '../../src/configuration/configuration.js';
 import {createSilentLog} from '../../src/log/log.js';
 import type {Code} from '../../src/result/code.js';
@@ -179,7 +179,7 @@
     peer.began();
     const answer = (code: Code | undefined, status: number) =>
       timers.after(oneWay, () => {
-        if (rule.loadAge > 0) peer.loaded(gate.load);
+        if (rule.loadAge > 0) peer.updateLoad(gate.load);
         peer.ended(code, status);
         if (code === undefined && status === 200)
           taken.push(timers.now() - since);
@@ -230,8 +230,8 @@
   announcements: readonly Announcement[],
   timers: FakeTimers,
   random: Random,
-): Peers {
-  return createPeers({
+): InstancePool {
+  return createInstancePool({
     failureDomain,
     endpoints: {instances: () => announcements, onChange: () => {}},
     balancer: rule.create(random),
--- a/src/node/link-share.ts
+++ b/src/node/link-share.ts
@@ -1,5 +1,5 @@
 /** How much of its VM's link a node lets large bodies and answers take. */
-import {placesFor} from '../request/decisions/body-places.js';
+import {uploadSlotsFor} from '../request/decisions/upload-slots.js';
 import {createEgressReservations} from '../request/decisions/egress-reservations.js';
 import type {EgressReservations} from '../request/decisions/egress-reservations.js';
 import {createEgressQueue} from '../request/transport/egress-queue.js';
@@ -36,7 +36,7 @@
   const egressQueue = createEgressQueue({rate: answerRate, timers});
   return {
     pace: createPace(rate, timers),
-    places: placesFor(rate),
+    places: uploadSlotsFor(rate),
     egressQueue,
     reservations: createEgressReservations({
       rate: answerRate,
--- a/src/node/upstream-gate.ts
+++ b/src/node/upstream-gate.ts
@@ -8,7 +8,7 @@
 import {requestCodes} from '../request/messages/codes.js';
 import type {Gate} from '../request/gate.js';
 import type {Call, Cancel} from '../request/messages/call.js';
-import {refusal} from '../request/messages/refusal.js';
+import {createRefusal} from '../request/messages/refusal.js';
 
 /** Options of `createUpstreamGate`; times in milliseconds. */
 export interface UpstreamGateOptions {
@@ -68,10 +68,10 @@
     get load() {
       return gate?.load ?? 0;
     },
-    loadOf: policy => gate?.loadOf(policy) ?? 0,
+    loadFor: policy => gate?.loadFor(policy) ?? 0,
     handle(call: Call, answer: Answer): Cancel {
       if (gate !== undefined) return gate.handle(call, answer);
-      answer.refuse(refusal(requestCodes.wrongInstance));
+      answer.refuse(createRefusal(requestCodes.wrongInstance));
       return () => {};
     },
     drain() {
--- a/src/request/decisions/answer-sizes.ts
+++ b/src/request/decisions/answer-sizes.ts
@@ -4,8 +4,8 @@
  * answer: of a service whose lookups answer with 0.4 KB and whose archives with
  * 90 KB, the archives were more than nine tenths of the bytes between domains.
  */
-import {largeAnswer} from '../messages/answer.js';
-import type {CallSize} from './peers.js';
+import {largeAnswerThreshold} from '../messages/answer.js';
+import type {CallSize} from './instance-pool.js';
 
 /** Weight of the newest answer in the mean. */
 const newest = 0.1;
@@ -27,7 +27,7 @@
 export function createAnswerSizes(): AnswerSizes {
   const means = new Map<string, number>();
   const mean = (policy: string) => means.get(policy) ?? 0;
-  const isLarge = (policy: string) => mean(policy) >= largeAnswer;
+  const isLarge = (policy: string) => mean(policy) >= largeAnswerThreshold;
 
   return {
     add: (policy, bytes) => {
--- a/src/request/decisions/attempt-answer.test.ts
+++ b/src/request/decisions/attempt-answer.test.ts
@@ -3,13 +3,13 @@
 import {requestCodes} from '../messages/codes.js';
 import {announcementOf} from '../fakes/fake-endpoints.js';
 import {createFakeAnswer} from '../fakes/fake-answer.js';
-import {refusal} from '../messages/refusal.js';
+import {createRefusal} from '../messages/refusal.js';
 
 function stage(isHurried: boolean) {
   const judged: string[] = [];
   const peer = {
     announcement: announcementOf(),
-    known: () => ({
+    logFields: () => ({
       outstanding: 0,
       load: 0,
       loadAge: undefined,
@@ -18,7 +18,7 @@
       stateAge: 0,
     }),
     began: () => {},
-    loaded: () => {},
+    updateLoad: () => {},
     ended: (code: {name: string} | undefined, status: number) =>
       void judged.push(`${code?.name} ${status}`),
   };
@@ -36,7 +36,7 @@
     // One caller asks for a millisecond again and again. Held against the
     // instances, its deadlines would have them ejected for all callers.
     const {attempt, judged} = stage(isHurried);
-    attempt.refuse(refusal(requestCodes.deadlinePassed));
+    attempt.refuse(createRefusal(requestCodes.deadlinePassed));
     t.deepEqual(judged, [isHurried ? 'caller-left 0' : 'deadline-passed 0']);
   });
 }
--- a/src/request/decisions/attempt-answer.ts
+++ b/src/request/decisions/attempt-answer.ts
@@ -1,7 +1,7 @@
 import {Answer} from '../messages/answer.js';
 import {requestCodes} from '../messages/codes.js';
 import type {Refusal} from '../messages/call.js';
-import type {Peer} from './peers.js';
+import type {PooledInstance} from './instance-pool.js';
 import type {Code} from '../../result/code.js';
 
 /** The answer to one attempt; tells its peer once how the attempt went. */
@@ -18,7 +18,7 @@
  */
 export function createAttemptAnswer(
   answer: Answer,
-  peer: Peer,
+  peer: PooledInstance,
   refused: (reason: Refusal) => void,
   isHurried: boolean,
   sized: (bytes: number) => void = () => {},
--- a/src/request/decisions/crash-watch.test.ts
+++ b/src/request/decisions/crash-detector.test.ts
@@ -2,12 +2,12 @@
 import {createFakeTimers, settle} from '../../time/fakes/fake-timers.js';
 import {callOf} from '../fakes/calls.js';
 import type {Call} from '../messages/call.js';
-import {createCrashWatch} from './crash-watch.js';
+import {createCrashDetector} from './crash-detector.js';
 
 function stage(listens: () => Promise<boolean>) {
   const timers = createFakeTimers();
   const crashes: Array<readonly Call[]> = [];
-  const watch = createCrashWatch({
+  const watch = createCrashDetector({
     timers,
     isListening: listens,
     onCrash: calls => void crashes.push(calls),
--- a/src/request/decisions/crash-watch.ts
+++ b/src/request/decisions/crash-detector.ts
@@ -6,7 +6,7 @@
 import type {Call} from '../messages/call.js';
 
 /** Options of `createCrashWatch`. */
-export interface CrashWatchOptions {
+export interface CrashDetectorOptions {
   readonly timers: Timers;
   /** Whether anything listens at the upstream's address; must not reject. */
   readonly isListening: () => Promise<boolean>;
@@ -15,7 +15,7 @@
 }
 
 /** Watches for crashes of one life of an upstream. */
-export interface CrashWatch {
+export interface CrashDetector {
   /** The upstream broke off while it ran this. */
   lost(call: Call): void;
 }
@@ -24,7 +24,7 @@
 const gatherTime = 50;
 
 /** Creates the watch; a life crashes once. */
-export function createCrashWatch(options: CrashWatchOptions): CrashWatch {
+export function createCrashDetector(options: CrashDetectorOptions): CrashDetector {
   const {timers, isListening, onCrash} = options;
   let lost: Call[] = [];
   let isOver = false;
--- a/src/request/decisions/durations.test.ts
+++ b/src/request/decisions/durations.test.ts
@@ -18,7 +18,7 @@
   for (let count = 0; count < 64; count++) durations.add(10, `kind ${count}`);
   durations.add(110, 'one more');
   t.is(durations.mean(), 15);
-  durations.doubt('one more');
+  durations.lower('one more');
   t.is(durations.mean(), 13.5);
 });
 
@@ -28,7 +28,7 @@
   for (let count = 0; count < 4_000; count++) {
     durations.add(100 * random.fraction() * 2, 'lookup');
   }
-  const {mean, mostly} = durations.of('lookup');
+  const {mean, upperQuartile: mostly} = durations.of('lookup');
   t.true(mean() > 85 && mean() < 115, String(mean()));
   t.true(mostly() > 130 && mostly() < 170, String(mostly()));
 });
--- a/src/request/decisions/egress-reservations.test.ts
+++ b/src/request/decisions/egress-reservations.test.ts
@@ -15,8 +15,8 @@
     waiting: () => link.waiting,
     clock,
   });
-  reservations.learn('archive', size);
-  reservations.learn('lookup', 400);
+  reservations.recordSize('archive', size);
+  reservations.recordSize('lookup', 400);
   /** Asks for work of a kind whose answer is good for 640 ms; starts it if let. */
   function ask(kind: string) {
     const reason = reservations.refusal(kind, clock.now() + 640);
@@ -69,7 +69,7 @@
 
 test('a free link is tried, however large the answers are', t => {
   const {reservations, ask} = stage();
-  reservations.learn('video', 10 * size);
+  reservations.recordSize('video', 10 * size);
   t.is(ask('video').reason, undefined);
   t.not(ask('video').reason, undefined);
 });
@@ -78,7 +78,7 @@
 // archive be refused though it has its turn soon.
 test('an endless answer keeps room for one turn', t => {
   const {reservations, ask} = stage();
-  reservations.learn('film', 1000 * size);
+  reservations.recordSize('film', 1000 * size);
   t.is(ask('film').reason, undefined);
   t.is(ask('archive').reason, undefined);
 });
@@ -86,10 +86,10 @@
 // Sums of means leave a rest behind, which must not pass for a reservation.
 test('a link counts as free again after answers of uneven sizes', t => {
   const {reservations, ask} = stage();
-  reservations.learn('video', 10 * size);
+  reservations.recordSize('video', 10 * size);
   for (let round = 1; round <= 30; round++) {
-    reservations.learn('archive', 60_000 + 1_777 * round);
-    reservations.learn('report', 20_000 + 777 * round);
+    reservations.recordSize('archive', 60_000 + 1_777 * round);
+    reservations.recordSize('report', 20_000 + 777 * round);
     const kinds = ['archive', 'report', 'archive', 'report'];
     const reserved = kinds.map(kind => ask(kind).reservation!);
     for (const reservation of reserved) reservation.arrived(16_384);
@@ -103,7 +103,7 @@
 test('answers that seem too large ever to fit are tried one at a time', t => {
   const {clock, link, reservations} = stage();
   const refusal = () => reservations.refusal('report', clock.now() + 200);
-  reservations.learn('report', 20 * size);
+  reservations.recordSize('report', 20 * size);
   link.waiting = 1;
   t.is(refusal(), undefined);
   const first = reservations.reserve('report');
@@ -135,7 +135,7 @@
       taken: () => egressQueue.taken,
       clock: timers,
     });
-    reservations.learn('archive', size);
+    reservations.recordSize('archive', size);
     const counts = {inTime: 0, late: 0};
 
     function answer(bytes: number, ended: () => void): void {
--- a/src/request/decisions/egress-reservations.ts
+++ b/src/request/decisions/egress-reservations.ts
@@ -4,10 +4,10 @@
  * before it starts.
  */
 import type {Clock} from '../../time/clock.js';
-import {answerTurn} from '../messages/answer.js';
+import {answerQuantum} from '../messages/answer.js';
 import type {Refusal} from '../messages/call.js';
 import {requestCodes} from '../messages/codes.js';
-import {refusal} from '../messages/refusal.js';
+import {createRefusal} from '../messages/refusal.js';
 import {createAnswerSizes} from './answer-sizes.js';
 
 /** Room on the link that one piece of work has reserved. */
@@ -29,7 +29,7 @@
   /** Keeps room for work of a kind. */
   reserve(kind: string | undefined): EgressReservation;
   /** An answer of a kind had so many bytes. */
-  learn(kind: string | undefined, bytes: number): void;
+  recordSize(kind: string | undefined, bytes: number): void;
 }
 
 /** Options of `createEgressReservations`. */
@@ -78,7 +78,7 @@
   let usualSize = 0;
 
   /** What others wait for when it has its turn. */
-  const sizeOf = (kind: string) => Math.min(answerTurn, sizes.mean(kind));
+  const sizeOf = (kind: string) => Math.min(answerQuantum, sizes.mean(kind));
 
   function observe(time: number, size: number): void {
     const weight = usualTime === undefined ? 1 : newest;
@@ -122,7 +122,7 @@
       // Only answers that come correct an estimate by which none ever fits.
       if (size / speed > time && !underWay.has(kind!)) return undefined;
       const wait = Math.max(leastWait, before / speed);
-      return refusal(requestCodes.deadlineUnreachable, undefined, wait);
+      return createRefusal(requestCodes.deadlineUnreachable, undefined, wait);
     },
     reserve: kind => {
       if (!isLarge(kind)) return noReservation;
@@ -147,7 +147,7 @@
 
       return {arrived, end};
     },
-    learn: (kind, bytes) => {
+    recordSize: (kind, bytes) => {
       if (kind !== undefined) sizes.add(kind, bytes);
     },
   };
--- a/src/request/decisions/ejection.test.ts
+++ b/src/request/decisions/ejection.test.ts
@@ -26,7 +26,7 @@
   test(`a fault that all instances share, ceiling ${ceiling}`, t => {
     // Every instance fails, say by a bad disk behind all of them. Without a
     // ceiling the service is left empty and stays so when the fault has gone.
-    const ejection = createEjection({log, clock: createFakeTimers(), ceiling});
+    const ejection = createEjection({log, clock: createFakeTimers(), maxShare: ceiling});
     for (const instance of service) fail(ejection, instance);
     t.is(ejection.allowed(service).size, ceiling === 1 ? 0 : 2);
     t.is(ejection.allowed(['a']).size, ceiling === 1 ? 0 : 1);
--- a/src/request/decisions/ejection.ts
+++ b/src/request/decisions/ejection.ts
@@ -12,9 +12,9 @@
   /** How long the first time; doubled each next one; 5000 unless given. */
   readonly duration?: number;
   /** Longest time left out; 60000 unless given. */
-  readonly longest?: number;
+  readonly maxDuration?: number;
   /** Largest share of a service's instances left out; 0.5 unless given. */
-  readonly ceiling?: number;
+  readonly maxShare?: number;
   readonly clock: Clock;
   readonly log: Log;
 }
@@ -26,11 +26,11 @@
   /** Work at an instance failed by the instance's fault. */
   failed(instance: string): void;
   /** Whether an instance is left out, unless too many are. */
-  isOut(instance: string): boolean;
+  isEjected(instance: string): boolean;
   /** Those of a service's instances that may be used; never none of some. */
   allowed(instances: readonly string[]): ReadonlySet<string>;
   /** Forgets instances that are gone. */
-  forget(instance: string): void;
+  remove(instance: string): void;
 }
 
 interface Evidence {
@@ -41,7 +41,7 @@
   until: number;
 }
 
-const defaults = {failures: 5, duration: 5_000, longest: 60_000, ceiling: 0.5};
+const defaults = {failures: 5, duration: 5_000, maxDuration: 60_000, maxShare: 0.5};
 
 /** Creates an ejection that has no evidence yet. */
 export function createEjection(options: EjectionOptions): Ejection {
@@ -51,7 +51,7 @@
 
   function leaveOut(instance: string, evidence: Evidence): void {
     const doubled = limits.duration * 2 ** evidence.times;
-    const duration = Math.min(doubled, limits.longest);
+    const duration = Math.min(doubled, limits.maxDuration);
     evidence.until = clock.now() + duration;
     evidence.times++;
     const {failures, times} = evidence;
@@ -66,7 +66,7 @@
    */
   function ejected(instances: readonly string[]): string[] {
     const out = instances.filter(isOut);
-    const most = Math.floor(instances.length * limits.ceiling);
+    const most = Math.floor(instances.length * limits.maxShare);
     return out
       .sort((left, right) => known.get(right)!.until - known.get(left)!.until)
       .slice(0, most);
@@ -78,7 +78,7 @@
   }
 
   return {
-    isOut,
+    isEjected: isOut,
     succeeded: instance => {
       const evidence = known.get(instance);
       if (evidence === undefined || evidence.until > clock.now()) return;
@@ -98,6 +98,6 @@
       for (const name of ejected(instances)) allowed.delete(name);
       return allowed;
     },
-    forget: instance => void known.delete(instance),
+    remove: instance => void known.delete(instance),
   };
 }
--- a/src/request/decisions/gate-quarantine.ts
+++ b/src/request/decisions/gate-quarantine.ts
@@ -6,9 +6,9 @@
 import type {Suspect} from '../../quarantine/messages.js';
 import type {Timers} from '../../time/timers.js';
 import type {Call, Refusal} from '../messages/call.js';
-import {quarantined} from '../messages/refusal.js';
+import {quarantineRefusal} from '../messages/refusal.js';
 import type {Safeguards} from '../messages/safeguards.js';
-import {createCrashWatch} from './crash-watch.js';
+import {createCrashDetector} from './crash-detector.js';
 import {createQuarantines} from './quarantines.js';
 import {suspectsOf} from './request-digest.js';
 import {createTrials} from './trials.js';
@@ -32,7 +32,7 @@
 /** A gate's part in quarantines. */
 export interface GateQuarantine {
   /** Why the call must not run here; undefined when it may. */
-  heldReason(call: Call): Refusal | undefined;
+  refusalFor(call: Call): Refusal | undefined;
   /** The call starts; if it is on trial, that is over with this. */
   started(call: Call): void;
   /** The upstream gave its own whole answer. */
@@ -53,7 +53,7 @@
    * instance ends; told as untried, it would get another trial elsewhere.
    */
   const tried = new Set<Call>();
-  const crashes = createCrashWatch({
+  const crashes = createCrashDetector({
     timers,
     isListening: options.isListening ?? (() => Promise.resolve(true)),
     onCrash: calls => {
@@ -62,10 +62,10 @@
   });
 
   return {
-    heldReason: call => {
+    refusalFor: call => {
       const quarantine = quarantines.find(call);
       const isFree = quarantine === undefined || trials.allows(quarantine);
-      return isFree ? undefined : quarantined(quarantine.name);
+      return isFree ? undefined : quarantineRefusal(quarantine.name);
     },
     started: call => {
       const quarantine = quarantines.find(call);
--- a/src/request/decisions/gate-machine.ts
+++ b/src/request/decisions/gate-state-machine.ts
@@ -7,7 +7,7 @@
 export type GateEvent = 'drain' | 'undrain' | 'stop';
 
 /** The state of one gate; `stopping` is final. */
-export interface GateMachine {
+export interface GateStateMachine {
   state(): GateState;
   /** Events that mean nothing in the present state are ignored. */
   send(event: GateEvent): void;
@@ -26,7 +26,7 @@
 });
 
 /** Creates the state machine of a gate that serves. */
-export function createGateMachine(): GateMachine {
+export function createGateStateMachine(): GateStateMachine {
   const service = interpret(definition, () => {});
   return {
     state: () => service.machine.current as GateState,
--- a/src/request/decisions/peers.test.ts
+++ b/src/request/decisions/instance-pool.test.ts
@@ -6,14 +6,14 @@
 import {requestCodes} from '../messages/codes.js';
 import {configurationOf, stockConfiguration} from '../fakes/configurations.js';
 import {announcementOf, createFakeEndpoints} from '../fakes/fake-endpoints.js';
-import {createPeers} from './peers.js';
-import type {CallSize, Peer, PeersOptions} from './peers.js';
+import {createInstancePool} from './instance-pool.js';
+import type {CallSize, PooledInstance, InstancePoolOptions} from './instance-pool.js';
 
-function stage(names: readonly string[], changes: Partial<PeersOptions> = {}) {
+function stage(names: readonly string[], changes: Partial<InstancePoolOptions> = {}) {
   const timers = createFakeTimers(1_000_000);
   const endpoints = createFakeEndpoints();
   for (const instance of names) endpoints.put(announcementOf({instance}));
-  const peers = createPeers({
+  const peers = createInstancePool({
     failureDomain: 'rusayl-a',
     endpoints,
     balancer: createPowerOfTwoBalancer(createRandom(3)),
@@ -29,7 +29,7 @@
     return peers.choose('stock-desk', configuration, new Set(tried), size);
   }
   /** How often each is chosen in a hundred calls that are answered at once. */
-  function shares(answer = (peer: Peer) => peer.ended(undefined, 200)) {
+  function shares(answer = (peer: PooledInstance) => peer.ended(undefined, 200)) {
     const counts: Record<string, number> = {};
     for (let call = 0; call < 100; call++) {
       const peer = choose()!;
@@ -110,8 +110,8 @@
   const {choose, shares} = stage(['a', 'b']);
   const chooseLarge = (tried: string[] = []) =>
     choose(stockConfiguration, tried, 'large')!;
-  chooseLarge(['b']).loaded(3);
-  choose(stockConfiguration, ['a'])!.loaded(1);
+  chooseLarge(['b']).updateLoad(3);
+  choose(stockConfiguration, ['a'])!.updateLoad(1);
   t.is(shares()['a'], 100);
   for (let call = 0; call < 20; call++) {
     t.is(chooseLarge().announcement.instance, 'b');
--- a/src/request/decisions/keyed-run.ts
+++ b/src/request/decisions/keyed-run.ts
@@ -14,7 +14,7 @@
 import {requestCodes} from '../messages/codes.js';
 import {fingerprintOf} from './fingerprint.js';
 import type {AnswerHead, Call, Cancel, Refusal} from '../messages/call.js';
-import {refusal} from '../messages/refusal.js';
+import {createRefusal} from '../messages/refusal.js';
 
 /** Largest answer body, in bytes, that is gathered for resends. */
 const keptLimit = 1024 * 1024;
@@ -40,7 +40,7 @@
     if (acquired.kind === 'answered') return replay(acquired.answer, answer);
     if (acquired.kind === 'refused') {
       const {code, message, retryAfter} = acquired;
-      return answer.refuse(refusal(code, message, retryAfter));
+      return answer.refuse(createRefusal(code, message, retryAfter));
     }
     options.run(call, createKeptAnswer(answer, acquired.claim));
   }
@@ -49,7 +49,7 @@
     handle: (call, answer) => {
       const {claims} = options;
       if (claims === undefined) {
-        answer.refuse(refusal(requestCodes.claimsUnavailable));
+        answer.refuse(createRefusal(requestCodes.claimsUnavailable));
         return () => {};
       }
       let left = false;
--- a/src/request/decisions/quarantines.test.ts
+++ b/src/request/decisions/quarantines.test.ts
@@ -49,7 +49,7 @@
   t.is(createQuarantines(() => undefined).find(callOf()), undefined);
   const none = createQuarantines(() => stockConfiguration);
   t.is(none.find(callOf()), undefined);
-  t.false(none.mayHold(callOf()));
+  t.false(none.mayMatch(callOf()));
 });
 
 test('the quarantines of the next configuration count at once', t => {
@@ -58,5 +58,5 @@
   t.truthy(quarantines.find(callOf()));
   configuration = configurationOf({quarantines: [quarantineOf(bookingOf())]});
   t.is(quarantines.find(callOf()), undefined);
-  t.true(quarantines.mayHold(bookingOf({body: {kind: 'none'}})));
+  t.true(quarantines.mayMatch(bookingOf({body: {kind: 'none'}})));
 });
--- a/src/request/decisions/quarantines.ts
+++ b/src/request/decisions/quarantines.ts
@@ -6,14 +6,14 @@
 import type {Call} from '../messages/call.js';
 import {allSafeguards} from '../messages/safeguards.js';
 import type {Safeguards} from '../messages/safeguards.js';
-import {headDigest, wholeDigest} from './request-digest.js';
+import {headDigest, requestDigest} from './request-digest.js';
 
 /** The quarantines in force at a node. */
 export interface Quarantines {
   /** The one that a request is in; its body must have come, or its first part. */
   find(call: Call): Quarantine | undefined;
   /** Whether the request may be in one, as far as its head tells. */
-  mayHold(call: Call): boolean;
+  mayMatch(call: Call): boolean;
 }
 
 /** Sees the quarantines of the configuration in force; none for a test without. */
@@ -41,9 +41,9 @@
       if (quarantines === undefined) return undefined;
       const head = headDigest(call);
       if (!heads.has(head)) return undefined;
-      const name = wholeDigest(head, call.body);
+      const name = requestDigest(head, call.body);
       return name === undefined ? undefined : quarantines.get(name);
     },
-    mayHold: call => inForce() !== undefined && heads.has(headDigest(call)),
+    mayMatch: call => inForce() !== undefined && heads.has(headDigest(call)),
   };
 }
--- a/src/request/decisions/request-digest.ts
+++ b/src/request/decisions/request-digest.ts
@@ -6,9 +6,9 @@
 import {createHash} from 'node:crypto';
 import type {Suspect} from '../../quarantine/messages.js';
 import type {Call} from '../messages/call.js';
-import {siteOf} from '../messages/site.js';
+import {hostOf} from '../messages/host.js';
 import type {Upload} from '../messages/upload.js';
-import {gatherLimit} from '../messages/upload.js';
+import {bufferLimit} from '../messages/upload.js';
 
 /** Hexadecimal digits of a digest: 128 bits, so that nobody finds another. */
 const digits = 32;
@@ -21,7 +21,7 @@
   const known = heads.get(call);
   if (known !== undefined) return known;
   const {caller, method, path} = call;
-  const head = digestOf(JSON.stringify([caller, method, siteOf(call), path]));
+  const head = digestOf(JSON.stringify([caller, method, hostOf(call), path]));
   heads.set(call, head);
   return head;
 }
@@ -30,19 +30,19 @@
  * The digest of a whole request, given that of its head. A large body counts
  * by its first part; undefined while that has not arrived.
  */
-export function wholeDigest(head: string, body: Upload): string | undefined {
+export function requestDigest(head: string, body: Upload): string | undefined {
   const bytes = bytesOf(body);
   return bytes === undefined ? undefined : digestOf(head, bytes);
 }
 
 /** The name of a request in all evidence; undefined where its body can't be told. */
 export function requestName(call: Call): string | undefined {
-  return wholeDigest(headDigest(call), call.body);
+  return requestDigest(headDigest(call), call.body);
 }
 
 /** Method, host and path, for people; long ones are cut. */
 function describeRequest(call: Call): string {
-  return `${call.method} ${siteOf(call)}${call.path}`.slice(0, longestText);
+  return `${call.method} ${hostOf(call)}${call.path}`.slice(0, longestText);
 }
 
 const longestText = 120;
@@ -51,7 +51,7 @@
 export function suspectsOf(calls: readonly Call[]): Suspect[] {
   return calls.flatMap(call => {
     const head = headDigest(call);
-    const name = wholeDigest(head, call.body);
+    const name = requestDigest(head, call.body);
     if (name === undefined) return [];
     return [
       {name, head, service: call.service, request: describeRequest(call)},
@@ -62,8 +62,8 @@
 function bytesOf(body: Upload): Buffer | undefined {
   if (body.kind === 'none') return Buffer.alloc(0);
   if (body.kind === 'whole') return body.bytes;
-  const {bytes, isWhole} = body.seen();
-  if (isWhole || bytes.length >= gatherLimit) return bytes;
+  const {bytes, isWhole} = body.received();
+  if (isWhole || bytes.length >= bufferLimit) return bytes;
   return undefined;
 }
 
--- a/src/request/decisions/stories.test.ts
+++ b/src/request/decisions/request-tracer.test.ts
@@ -1,23 +1,23 @@
 import test from 'ava';
 import {createRecordedLog} from '../../log/fakes/recorded-log.js';
 import {createFakeTimers} from '../../time/fakes/fake-timers.js';
-import {createStories} from './stories.js';
-import type {StoriesOptions} from './stories.js';
+import {createRequestTracer} from './request-tracer.js';
+import type {RequestTracerOptions} from './request-tracer.js';
 
 /** Never samples unless told to. */
-function stage(changes: Partial<StoriesOptions> = {}) {
+function stage(changes: Partial<RequestTracerOptions> = {}) {
   const {log, lines, messages} = createRecordedLog();
   const timers = createFakeTimers(1_000);
   const sampling = 2 ** 32;
-  const stories = createStories({log, timers, sampling, ...changes});
+  const stories = createRequestTracer({log, timers, sampling, ...changes});
   return {stories, timers, lines, messages};
 }
 
 test('a request that failed is told whole, each line with its id', t => {
   const {stories, lines, messages} = stage();
   const story = stories.begin('r-1');
-  story.note('routed', {route: 'records'});
-  story.note('chosen', {instance: 'crewbook-1', load: 0.5});
+  story.record('routed', {route: 'records'});
+  story.record('chosen', {instance: 'crewbook-1', load: 0.5});
   story.end('refused', {code: 4003}, 'notable');
   t.deepEqual(messages(), ['routed', 'chosen', 'refused']);
   t.true(lines.every(line => line.fields.request === 'r-1'));
@@ -48,7 +48,7 @@
   const {stories, messages} = stage();
   const story = stories.begin('r-1');
   story.end('cancelled', {}, 'notable');
-  story.note('moved', {});
+  story.record('moved', {});
   story.end('refused', {}, 'notable');
   t.deepEqual(messages(), ['cancelled']);
 });
@@ -57,7 +57,7 @@
   const {stories, timers, lines} = stage({rate: 10, burst: 20});
   for (let count = 0; count < 500; count++) {
     const story = stories.begin(`r-${count}`);
-    story.note('routed', {});
+    story.record('routed', {});
     story.end('refused', {}, 'notable');
   }
   t.is(lines.length, 20);
--- a/src/request/decisions/stories.ts
+++ b/src/request/decisions/request-tracer.ts
@@ -23,24 +23,24 @@
   | 'cut';
 
 /** Whether an end is worth its lines whatever the sampling says. */
-export type Ending = 'plain' | 'notable';
+export type OutcomeKind = 'plain' | 'notable';
 
 /** The decisions about one request in one process. */
-export interface Story {
+export interface RequestTrace {
   /** Notes a decision and what it was made on. */
-  note(decision: Decision, inputs: Fields): void;
+  record(decision: Decision, inputs: Fields): void;
   /** Notes the last decision; later calls are ignored. */
-  end(decision: Decision, outcome: Fields, ending: Ending): void;
+  end(decision: Decision, outcome: Fields, ending: OutcomeKind): void;
 }
 
 /** Where stories begin. */
-export interface Stories {
+export interface RequestTracer {
   /** `request` is the id that all processes know it by. */
-  begin(request: string): Story;
+  begin(request: string): RequestTrace;
 }
 
 /** Options of `createStories`. */
-export interface StoriesOptions {
+export interface RequestTracerOptions {
   readonly log: Log;
   readonly timers: Timers;
   /** One in so many good requests is written; 256 unless given. */
@@ -68,7 +68,7 @@
 const longestId = 64;
 
 /** Creates the stories of one part of a process. */
-export function createStories(options: StoriesOptions): Stories {
+export function createRequestTracer(options: RequestTracerOptions): RequestTracer {
   const {log, timers} = options;
   const limits = {...defaults, ...options};
   const {rate, burst} = limits;
@@ -87,7 +87,7 @@
     }
   }
 
-  function finish(request: string, notes: readonly Note[], ending: Ending) {
+  function finish(request: string, notes: readonly Note[], ending: OutcomeKind) {
     if (ending === 'notable' || isSampled(request)) write(request, notes);
   }
 
@@ -95,10 +95,10 @@
 }
 
 /** Takes the notes of a request that has ended. */
-type Finish = (request: string, notes: readonly Note[], ending: Ending) => void;
+type Finish = (request: string, notes: readonly Note[], ending: OutcomeKind) => void;
 
 // A class: functions made for each request would cost more than the notes.
-class OpenStory implements Story {
+class OpenStory implements RequestTrace {
   private readonly notes: Note[] = [];
   private isOver = false;
 
@@ -108,21 +108,21 @@
     private readonly finish: Finish,
   ) {}
 
-  note(decision: Decision, fields: Fields): void {
+  record(decision: Decision, fields: Fields): void {
     if (this.isOver) return;
     this.notes.push({decision, fields, at: this.clock.wall()});
   }
 
-  end(decision: Decision, outcome: Fields, ending: Ending): void {
+  end(decision: Decision, outcome: Fields, ending: OutcomeKind): void {
     if (this.isOver) return;
-    this.note(decision, outcome);
+    this.record(decision, outcome);
     this.isOver = true;
     this.finish(this.request, this.notes, ending);
   }
 }
 
 /** Stories that nobody reads. */
-export function createNoStories(): Stories {
-  const story: Story = {note: () => {}, end: () => {}};
+export function createNoopRequestTracer(): RequestTracer {
+  const story: RequestTrace = {record: () => {}, end: () => {}};
   return {begin: () => story};
 }
--- a/src/request/decisions/time-limits.test.ts
+++ b/src/request/decisions/time-limits.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
 import {createFakeTimers} from '../../time/fakes/fake-timers.js';
 import {policyOf, routeOf} from '../fakes/configurations.js';
-import type {CallSize} from './peers.js';
+import type {CallSize} from './instance-pool.js';
 import {createTimeLimiter} from './time-limits.js';
 
 /** A policy of 5000 ms with an objective of 100. */
--- a/src/request/decisions/time-limits.ts
+++ b/src/request/decisions/time-limits.ts
@@ -1,10 +1,10 @@
 /** How long a request may take, and until when its answer counts as good. */
 import type {Route} from '../../configuration/configuration.js';
 import type {Timers} from '../../time/timers.js';
-import type {CallerTerms} from '../messages/call.js';
-import type {CallSize} from './peers.js';
-import type {Match} from './router.js';
-import {createUsualTimeouts} from './usual-timeout.js';
+import type {CallerOptions} from '../messages/call.js';
+import type {CallSize} from './instance-pool.js';
+import type {RouteMatch} from './router.js';
+import {createTypicalTimeouts} from './typical-timeouts.js';
 
 /** The limits of one request, by the timer service. */
 export interface TimeLimits {
@@ -17,7 +17,7 @@
 /** Works out the limits of requests. */
 export interface TimeLimiter {
   /** The limits of a request that has just come, by the size of its answer. */
-  limit(terms: CallerTerms, match: Match, size?: CallSize): TimeLimits;
+  limit(terms: CallerOptions, match: RouteMatch, size?: CallSize): TimeLimits;
   /** A request of the route was refused or failed. */
   failed(route: Route): void;
 }
@@ -30,7 +30,7 @@
 
 /** Creates the limiter of one entry; it learns from its callers. */
 export function createTimeLimiter(timers: Timers): TimeLimiter {
-  const usualTimeouts = createUsualTimeouts();
+  const usualTimeouts = createTypicalTimeouts();
 
   /**
    * Milliseconds in which an answer is good. A call that an upstream makes for
@@ -39,8 +39,8 @@
    * makes others late on the link, so it is judged by what little is known.
    */
   function goodFor(
-    {timeout}: CallerTerms,
-    {route, policy}: Match,
+    {timeout}: CallerOptions,
+    {route, policy}: RouteMatch,
     size: CallSize,
   ): number {
     const good = policy.objective.latency - wayBack;
@@ -49,12 +49,12 @@
     const waited = usualTimeouts.waited(route, longest);
     if (waited !== undefined) return good - waited;
     if (size === 'small') return Infinity;
-    return good - usualTimeouts.supposed(route, longest);
+    return good - usualTimeouts.estimateWaited(route, longest);
   }
 
   function limit(
-    terms: CallerTerms,
-    match: Match,
+    terms: CallerOptions,
+    match: RouteMatch,
     size: CallSize = 'small',
   ): TimeLimits {
     const now = timers.now();
--- a/src/request/decisions/body-places.test.ts
+++ b/src/request/decisions/upload-slots.test.ts
@@ -3,11 +3,11 @@
 import {createFakeTimers} from '../../time/fakes/fake-timers.js';
 import {requestCodes} from '../messages/codes.js';
 import {recordTickets} from '../fakes/recorded-tickets.js';
-import {refusal} from '../messages/refusal.js';
+import {createRefusal} from '../messages/refusal.js';
 import type {StreamUpload} from '../messages/upload.js';
 import {createAdmission} from './admission.js';
 import type {Ticket} from './admission.js';
-import {placesFor, withBodyPlaces} from './body-places.js';
+import {uploadSlotsFor, withUploadSlots} from './upload-slots.js';
 
 /** A body whose end the test decides. */
 function createBody() {
@@ -21,10 +21,10 @@
 
 function stage(places = 2, slots = 6) {
   const clock = createFakeTimers();
-  const admission = withBodyPlaces({
+  const admission = withUploadSlots({
     admission: createAdmission({slots, queueLength: 36, clock}),
     slots,
-    places,
+    uploadSlots: places,
     queueLength: 36,
     clock,
   });
@@ -71,7 +71,7 @@
   const {admission, events, offer} = stage(1);
   offer('a', createBody().body);
   offer('b', createBody().body);
-  admission.refuseWaiting(refusal(requestCodes.draining));
+  admission.refuseWaiting(createRefusal(requestCodes.draining));
   t.deepEqual(events, ['a starts', 'b draining']);
 });
 
@@ -94,9 +94,9 @@
 });
 
 test('a fast link has places for all, a slow one for two at least', t => {
-  t.is(placesFor(94_000_000), 179);
-  t.is(placesFor(1_600_000), 3);
-  t.is(placesFor(100_000), 2);
+  t.is(uploadSlotsFor(94_000_000), 179);
+  t.is(uploadSlotsFor(1_600_000), 3);
+  t.is(uploadSlotsFor(100_000), 2);
 });
 
 interface Transfer {
@@ -114,10 +114,10 @@
   const clock = createFakeTimers();
   const random = createRandom(7);
   const {bytesPerTick, tick} = {bytesPerTick: 9800, tick: 10};
-  const admission = withBodyPlaces({
+  const admission = withUploadSlots({
     admission: createAdmission({slots: 9, queueLength: 36, clock}),
     slots: 9,
-    places,
+    uploadSlots: places,
     queueLength: 36,
     clock,
   });
--- a/src/request/decisions/body-places.ts
+++ b/src/request/decisions/upload-slots.ts
@@ -13,16 +13,16 @@
 const leastRate = 512 * 1024;
 
 /** Places for bodies that come over a link with `rate` bytes a second for them. */
-export function placesFor(rate: number): number {
+export function uploadSlotsFor(rate: number): number {
   return Math.max(2, Math.floor(rate / leastRate));
 }
 
 /** What `withBodyPlaces` works with. */
-export interface BodyPlacesOptions {
+export interface UploadSlotsOptions {
   /** Admits to the slots of the upstream. */
   readonly admission: Admission;
   readonly slots: number;
-  readonly places: number;
+  readonly uploadSlots: number;
   /** Uploads that may wait for a place. */
   readonly queueLength: number;
   readonly clock: Clock;
@@ -32,14 +32,14 @@
  * Has uploads wait for a place before they ask for a slot. A link that carries
  * as many bodies as there are slots leaves that to the slots.
  */
-export function withBodyPlaces(options: BodyPlacesOptions): Admission {
+export function withUploadSlots(options: UploadSlotsOptions): Admission {
   const {admission, clock} = options;
-  if (options.places >= options.slots) return admission;
+  if (options.uploadSlots >= options.slots) return admission;
   // Callers of uploads wait for seconds. In the order of arrival all of them
   // would wait that long and be late once the link is full; the last first, as
   // many as the link carries are in time, and those before them are refused.
   const places = createAdmission({
-    slots: options.places,
+    slots: options.uploadSlots,
     queueLength: options.queueLength,
     order: 'lifo',
     clock,
--- a/src/request/link-out.test.ts
+++ b/src/request/link-out.test.ts
@@ -8,7 +8,7 @@
 import {createAdmission} from './decisions/admission.js';
 import {createEgressReservations} from './decisions/egress-reservations.js';
 import {createRun} from './decisions/run.js';
-import {createNoStories} from './decisions/stories.js';
+import {createNoopRequestTracer} from './decisions/request-tracer.js';
 import type {CallHandler, UpstreamLink} from './messages/hops.js';
 import {allSafeguards} from './messages/safeguards.js';
 import {createFramedGate} from './transport/framed-gate.js';
@@ -137,7 +137,7 @@
     get load() {
       return admission.load;
     },
-    loadOf: policy =>
+    loadFor: policy =>
       reservations.isLarge(policy)
         ? Math.max(admission.load, reservations.load)
         : admission.load,
@@ -150,11 +150,11 @@
         objective: kindNamed(call.policy!).goodFor,
         upstream,
         instance: 'a',
-        story: createNoStories().begin(call.id),
+        trace: createNoopRequestTracer().begin(call.id),
         timers,
-        closedReason: () => undefined,
+        currentRefusal: () => undefined,
         safeguards: allSafeguards,
-        ended: () => {},
+        onEnded: () => {},
         onAnswered: () => {},
         onLost: () => {},
       });
--- a/src/request/messages/answer.ts
+++ b/src/request/messages/answer.ts
@@ -4,14 +4,14 @@
  * Bytes from which an answer is large: it weighs on links between failure
  * domains, and small answers must not wait behind it.
  */
-export const largeAnswer = 16 * 1024;
+export const largeAnswerThreshold = 16 * 1024;
 
 /**
  * Bytes that an answer sends in its turn before others have theirs. Answers up
  * to there go one after the other, so that each is whole as early as it can be;
  * a film or a feed that never ends must not keep them waiting.
  */
-export const answerTurn = 256 * 1024;
+export const answerQuantum = 256 * 1024;
 
 /**
  * Where the answer to one request goes. Exactly one of `end`, `refuse` and
--- a/src/request/messages/hops.ts
+++ b/src/request/messages/hops.ts
@@ -16,7 +16,7 @@
   /** Running and waiting work over the slots. */
   readonly load: number;
   /** The load that work of a policy meets: that of what it needs most. */
-  loadOf(policy: string | undefined): number;
+  loadFor(policy: string | undefined): number;
   /** Takes one call; its answer, or a numbered refusal, goes to `answer`. */
   handle(call: Call, answer: Answer): Cancel;
 }
@@ -25,7 +25,7 @@
 export interface GateTarget {
   readonly announcement: Announcement;
   /** The gate told its load, work over slots. */
-  loaded(load: number): void;
+  updateLoad(load: number): void;
 }
 
 /** The links to the gates of other nodes. */
@@ -39,14 +39,14 @@
 }
 
 /** Why an answer is not passed on, and what becomes of its connection. */
-export interface Judgement {
+export interface AnswerRejection {
   readonly refusal: Refusal;
   /** Kept where the answer is in order, broken where later bytes are in doubt. */
   readonly connection: 'kept' | 'broken';
 }
 
 /** A request under way. */
-export interface Sending {
+export interface PendingRequest {
   resume(): void;
   /**
    * Asks the other side to end the work and waits for it to close; harmless
@@ -64,7 +64,7 @@
   /** The answer begins. */
   head(head: AnswerHead): void;
   /** An answer begins that must not be passed on. */
-  unfit(judgement: Judgement): void;
+  rejected(judgement: AnswerRejection): void;
   /** Takes a part of the answer; false pauses until `Sending.resume`. */
   data(chunk: Buffer): boolean;
   end(): void;
@@ -82,5 +82,5 @@
     call: Call,
     left: number,
     receiver: UpstreamReceiver,
-  ): Sending | undefined;
+  ): PendingRequest | undefined;
 }
--- a/src/request/messages/safeguards.ts
+++ b/src/request/messages/safeguards.ts
@@ -4,7 +4,7 @@
  */
 export interface Safeguards {
   /** Work that may have reached its upstream is `unknown`, not `not-run`. */
-  readonly doubt: boolean;
+  readonly unknownEffect: boolean;
   /** Work that may have begun is sent again only when it is idempotent. */
   readonly once: boolean;
   /**
@@ -34,7 +34,7 @@
 
 /** What a process runs with. */
 export const allSafeguards: Safeguards = {
-  doubt: true,
+  unknownEffect: true,
   once: true,
   framedLinks: true,
   internalHeaders: true,
--- a/src/request/messages/upload.ts
+++ b/src/request/messages/upload.ts
@@ -1,10 +1,10 @@
 /** The body of a request, as it is handed from part to part. */
 
 /** Bodies up to this many bytes are gathered before they are sent on. */
-export const gatherLimit = 64 * 1024;
+export const bufferLimit = 64 * 1024;
 
 /** What has arrived of a streamed body. */
-export interface SeenUpload {
+export interface ReceivedBody {
   /** Its first bytes, `gatherLimit` at most. */
   readonly bytes: Buffer;
   /** Whether these are all, and its end was read. */
@@ -37,9 +37,9 @@
    * Gathers the first bytes before any attempt reads them, `gatherLimit` or
    * all; rejects with a `Failure` when they don't come.
    */
-  gatherFirst(): Promise<void>;
+  bufferFirst(): Promise<void>;
   /** What was read of its first bytes so far. */
-  seen(): SeenUpload;
+  received(): ReceivedBody;
   /** Its work has ended, whatever was read of it. */
   close(): void;
   /** Reads on and forgets what comes; for a sender that writes on after its answer. */
--- a/src/request/route-finder.ts
+++ b/src/request/route-finder.ts
@@ -7,9 +7,9 @@
 import {requestCodes} from './messages/codes.js';
 import {findFault} from './transport/inspection.js';
 import type {Refusal} from './messages/call.js';
-import {noConfiguration, refusal} from './messages/refusal.js';
+import {noConfigurationRefusal, createRefusal} from './messages/refusal.js';
 import {createRouter, isMatch} from './decisions/router.js';
-import type {Match, Router} from './decisions/router.js';
+import type {RouteMatch, Router} from './decisions/router.js';
 
 /** Options of `createRouteFinder`. */
 export interface RouteFinderOptions {
@@ -22,7 +22,7 @@
 
 /** A route, and the configuration that it stands in. */
 export interface FoundRoute {
-  readonly match: Match;
+  readonly match: RouteMatch;
   readonly configuration: Configuration;
 }
 
@@ -45,19 +45,19 @@
    */
   function refuseUnmatched(code: Code): Refusal {
     const isSure = options.isConfirmed?.() ?? true;
-    if (isSure || code !== requestCodes.noRoute) return refusal(code);
-    return refusal(requestCodes.routeUnsure, undefined, unsureRetryAfter);
+    if (isSure || code !== requestCodes.noRoute) return createRefusal(code);
+    return createRefusal(requestCodes.routeUnsure, undefined, unsureRetryAfter);
   }
 
   return request => {
     const fault = findFault(request);
     if (fault !== undefined) {
-      return {refused: refusal(requestCodes.badRequest, fault)};
+      return {refused: createRefusal(requestCodes.badRequest, fault)};
     }
     const configuration = options.configuration();
     // Its `no-route` would be believed for routes that are about to come.
     if (configuration === undefined || isBeforeFirst(configuration)) {
-      return {refused: noConfiguration()};
+      return {refused: noConfigurationRefusal()};
     }
     const match = routerOf(configuration).match({
       method: request.method!,
--- a/src/request/transport/egress-queue.ts
+++ b/src/request/transport/egress-queue.ts
@@ -4,7 +4,7 @@
  * the others go first from time to time. Written as they come, they would wait
  * in the sockets, and small answers, marks and heartbeats behind them.
  */
-import {Answer, answerTurn, largeAnswer} from '../messages/answer.js';
+import {Answer, answerQuantum, largeAnswerThreshold} from '../messages/answer.js';
 import type {AnswerHead, Refusal} from '../messages/call.js';
 import type {Subscription, Timers} from '../../time/timers.js';
 import {createMeter} from './pace.js';
@@ -162,7 +162,7 @@
 
   write(chunk: Buffer): boolean {
     if (this.isOver) return true;
-    if (!this.isLarge && this.passed + chunk.length < largeAnswer) {
+    if (!this.isLarge && this.passed + chunk.length < largeAnswerThreshold) {
       this.passed += chunk.length;
       this.turns.meter.spend(chunk.length);
       this.turns.small.add(chunk.length);
@@ -213,7 +213,7 @@
     if (!this.answer.write(part)) this.block();
     this.sent += part.length;
     if (this.held === 0 && this.isWhole) this.finish();
-    else if (this.sent >= answerTurn) this.endTurn();
+    else if (this.sent >= answerQuantum) this.endTurn();
   }
 
   /** Has its sender go on once there is room for more. */
--- a/src/request/transport/framed-call.ts
+++ b/src/request/transport/framed-call.ts
@@ -10,7 +10,7 @@
 import {endToEnd} from './headers.js';
 import type {Call, Cancel} from '../messages/call.js';
 import type {GateTarget} from '../messages/hops.js';
-import {refusal} from '../messages/refusal.js';
+import {createRefusal} from '../messages/refusal.js';
 import type {Safeguards} from '../messages/safeguards.js';
 
 /** A call and the link that carries it. */
@@ -34,7 +34,7 @@
 
   const receiver: FrameReceiver = {
     head: ({status, reason, headers, load}) => {
-      peer.loaded(load);
+      peer.updateLoad(load);
       isStarted = true;
       answer.start({status, reason, headers: endToEnd(headers, {foreign})});
     },
@@ -53,8 +53,8 @@
     },
     refused: ({code, retryAfter, load}) => {
       limit.cancel();
-      peer.loaded(load);
-      answer.refuse(refusal(codeOf(code), undefined, retryAfter));
+      peer.updateLoad(load);
+      answer.refuse(createRefusal(codeOf(code), undefined, retryAfter));
     },
     lost: fail,
     unsupported: () => {
@@ -66,7 +66,7 @@
   function fail(error: Error, began: boolean): void {
     limit.cancel();
     if (isStarted) answer.cut();
-    else answer.refuse(reasonOf(error, began && safeguards.doubt));
+    else answer.refuse(reasonOf(error, began && safeguards.unknownEffect));
   }
 
   function write(number: number): CallFrame {
--- a/src/request/transport/framed-gate.ts
+++ b/src/request/transport/framed-gate.ts
@@ -11,7 +11,7 @@
 import type {CallFrame, EntryFrame, GateFrame} from './frames.js';
 import type {CallHandler} from '../messages/hops.js';
 import type {Call, Cancel} from '../messages/call.js';
-import {refusal, refusalOf} from '../messages/refusal.js';
+import {createRefusal, toRefusal} from '../messages/refusal.js';
 import type {Safeguards} from '../messages/safeguards.js';
 import type {EgressQueue} from './egress-queue.js';
 
@@ -128,7 +128,7 @@
   function begin(own: Served, frame: CallFrame): void {
     const framed = createFramedAnswer(frame.call, {
       send: message => send(own, message),
-      load: () => gate.loadOf(frame.policy),
+      load: () => gate.loadFor(frame.policy),
       ended: () => ended(own, frame.call),
     });
     const queued = options.egressQueue?.to(framed);
@@ -136,7 +136,7 @@
     const work: Work = {cancel: () => {}, taken: framed.taken};
     own.calls.set(frame.call, work);
     if (safeguards.instanceCheck && !isForGate(frame)) {
-      return answer.refuse(refusal(requestCodes.wrongInstance));
+      return answer.refuse(createRefusal(requestCodes.wrongInstance));
     }
     const cancel = handle(frame, answer);
     work.cancel = () => {
@@ -153,7 +153,7 @@
     } catch (error) {
       const {message} = error as Error;
       options.log.error('call failed', {request: frame.request, message});
-      answer.refuse(refusalOf(error));
+      answer.refuse(toRefusal(error));
       return () => {};
     }
   }
--- a/src/request/transport/gate-call.ts
+++ b/src/request/transport/gate-call.ts
@@ -6,7 +6,7 @@
 import type {Clock} from '../../time/clock.js';
 import {requestCodes} from '../messages/codes.js';
 import type {Call, Refusal} from '../messages/call.js';
-import {refusal} from '../messages/refusal.js';
+import {createRefusal} from '../messages/refusal.js';
 
 /**
  * Milliseconds beyond the deadline for which an entry waits: the gate decides
@@ -38,9 +38,9 @@
 
 /** Why a call has failed; `began` tells whether the gate may have read it. */
 export function reasonOf(error: Error, began: boolean): Refusal {
-  if (!began) return refusal(requestCodes.gateUnreachable, error.message);
+  if (!began) return createRefusal(requestCodes.gateUnreachable, error.message);
   if (error instanceof Failure && error.code.effect === 'unknown') {
-    return refusal(error.code, error.message);
+    return createRefusal(error.code, error.message);
   }
-  return refusal(requestCodes.gateLost, error.message);
+  return createRefusal(requestCodes.gateLost, error.message);
 }
--- a/src/request/transport/gate-link.test.ts
+++ b/src/request/transport/gate-link.test.ts
@@ -50,7 +50,7 @@
     const mesh = await createMesh({
       upstreams: [() => {}, (_req, res) => (booked++, res.end('booked'))],
       entry: {
-        safeguards: {doubt, framedLinks},
+        safeguards: {unknownEffect: doubt, framedLinks},
         balancer: {choose: candidates => candidates[0]!},
       },
     });
--- a/src/request/transport/http-call.ts
+++ b/src/request/transport/http-call.ts
@@ -12,8 +12,8 @@
 import {codeOf, decisionMargin, reasonOf, timeLeft} from './gate-call.js';
 import {endToEnd, findHeader, headerNames} from './headers.js';
 import type {Call, Cancel, Refusal} from '../messages/call.js';
-import type {GateTarget, Sending} from '../messages/hops.js';
-import {refusal} from '../messages/refusal.js';
+import type {GateTarget, PendingRequest} from '../messages/hops.js';
+import {createRefusal} from '../messages/refusal.js';
 import type {Safeguards} from '../messages/safeguards.js';
 import {send} from './sending.js';
 import type {Receiver} from './sending.js';
@@ -46,7 +46,7 @@
     interim: () => answer.admit(),
     head: (status, reason, raw) => {
       const load = findHeader(raw, headerNames.load);
-      if (load !== undefined) peer.loaded(Number(load));
+      if (load !== undefined) peer.updateLoad(Number(load));
       const code = findHeader(raw, headerNames.code);
       if (code !== undefined) {
         refused = true;
@@ -69,7 +69,7 @@
       end();
       if (refused) return;
       if (started) answer.cut();
-      else answer.refuse(reasonOf(error, began && safeguards.doubt));
+      else answer.refuse(reasonOf(error, began && safeguards.unknownEffect));
     },
   };
 
@@ -80,13 +80,13 @@
 
   const {method, path, body} = call;
   const headers = headersOf(options);
-  const sending: Sending | undefined = send(
+  const sending: PendingRequest | undefined = send(
     options.link,
     {method, path, headers, body},
     receiver,
   );
   if (sending === undefined) {
-    answer.refuse(refusal(requestCodes.full, 'too many calls to one gate'));
+    answer.refuse(createRefusal(requestCodes.full, 'too many calls to one gate'));
     return () => {};
   }
   if (!ended) {
@@ -120,7 +120,7 @@
 
 function readRefusal(number: number, raw: Buffer[]): Refusal {
   const wait = findHeader(raw, headerNames.wait);
-  if (wait === undefined) return refusal(codeOf(number));
+  if (wait === undefined) return createRefusal(codeOf(number));
   const retryAfter = Number(wait) / millisecondsPerSecond;
-  return refusal(codeOf(number), undefined, retryAfter);
+  return createRefusal(codeOf(number), undefined, retryAfter);
 }
--- a/src/request/transport/upstream-link.ts
+++ b/src/request/transport/upstream-link.ts
@@ -1,6 +1,6 @@
 /** The connections between a gate and its upstream, in the upstream's dialect. */
 import type {
-  Sending,
+  PendingRequest,
   UpstreamLink,
   UpstreamReceiver,
 } from '../messages/hops.js';
@@ -35,7 +35,7 @@
         const judgement = safeguards.framing
           ? protocol.judge(call, {status, headers: raw})
           : undefined;
-        if (judgement !== undefined) return receiver.unfit(judgement);
+        if (judgement !== undefined) return receiver.rejected(judgement);
         receiver.head({status, reason, headers: endToEnd(raw, passing)});
       },
       data: chunk => receiver.data(chunk),
@@ -45,7 +45,7 @@
   }
 
   return {
-    send: (call, left, receiver): Sending | undefined => {
+    send: (call, left, receiver): PendingRequest | undefined => {
       const {method, path, body} = call;
       const headers = [...call.headers, ...protocol.headers(call, left)];
       const outgoing = {method, path, headers, body};
