--- a/src/request/decisions/gate-state-machine.ts
+++ b/src/request/decisions/gate-state-machine.ts
@@ -1,15 +1,15 @@
 import {createMachine, interpret, state, transition} from 'robot3';
 
-/** Whether a gate takes new work. */
+/** Lifecycle state of a gate; only a serving gate accepts new calls. */
 export type GateState = 'serving' | 'draining' | 'stopping';
 
-/** What moves a gate from one state to another. */
+/** Events that change the state of a gate. */
 export type GateEvent = 'drain' | 'undrain' | 'stop';
 
 /** The state of one gate; `stopping` is final. */
 export interface GateStateMachine {
   state(): GateState;
-  /** Events that mean nothing in the present state are ignored. */
+  /** Applies an event; events without a transition from the state are ignored. */
   send(event: GateEvent): void;
 }
 
@@ -25,7 +25,7 @@
   stopping: state(),
 });
 
-/** Creates the state machine of a gate that serves. */
+/** Creates the state machine of a gate, in the state `serving`. */
 export function createGateStateMachine(): GateStateMachine {
   const service = interpret(definition, () => {});
   return {
--- a/src/request/decisions/request-tracer.test.ts
+++ b/src/request/decisions/request-tracer.test.ts
@@ -4,69 +4,69 @@
 import {createRequestTracer} from './request-tracer.js';
 import type {RequestTracerOptions} from './request-tracer.js';
 
-/** Never samples unless told to. */
+/** Disables sampling unless `changes` enables it. */
 function stage(changes: Partial<RequestTracerOptions> = {}) {
   const {log, lines, messages} = createRecordedLog();
   const timers = createFakeTimers(1_000);
   const sampling = 2 ** 32;
-  const stories = createRequestTracer({log, timers, sampling, ...changes});
-  return {stories, timers, lines, messages};
+  const tracer = createRequestTracer({log, timers, sampling, ...changes});
+  return {tracer, timers, lines, messages};
 }
 
-test('a request that failed is told whole, each line with its id', t => {
-  const {stories, lines, messages} = stage();
-  const story = stories.begin('r-1');
-  story.record('routed', {route: 'records'});
-  story.record('chosen', {instance: 'crewbook-1', load: 0.5});
-  story.end('refused', {code: 4003}, 'notable');
+test('all decisions of a failed request are logged, each line with its id', t => {
+  const {tracer, lines, messages} = stage();
+  const trace = tracer.begin('r-1');
+  trace.record('routed', {route: 'records'});
+  trace.record('chosen', {instance: 'crewbook-1', load: 0.5});
+  trace.end('refused', {code: 4003}, 'notable');
   t.deepEqual(messages(), ['routed', 'chosen', 'refused']);
   t.true(lines.every(line => line.fields.request === 'r-1'));
 });
 
-test('a good request is not told unless it is sampled', t => {
+test('a successful request is not logged unless it is sampled', t => {
   const quiet = stage();
-  quiet.stories.begin('r-1').end('answered', {status: 200}, 'plain');
+  quiet.tracer.begin('r-1').end('answered', {status: 200}, 'plain');
   t.is(quiet.lines.length, 0);
   const sampled = stage({sampling: 1});
-  sampled.stories.begin('r-1').end('answered', {status: 200}, 'plain');
+  sampled.tracer.begin('r-1').end('answered', {status: 200}, 'plain');
   t.is(sampled.lines.length, 1);
 });
 
 test('every process samples the same requests', t => {
-  const told = () => {
-    const {stories, lines} = stage({sampling: 8});
+  const loggedIds = () => {
+    const {tracer, lines} = stage({sampling: 8});
     for (let count = 0; count < 100; count++) {
-      stories.begin(`r-${count}`).end('answered', {}, 'plain');
+      tracer.begin(`r-${count}`).end('answered', {}, 'plain');
     }
     return lines.map(line => line.fields.request);
   };
-  t.true(told().length > 0);
-  t.deepEqual(told(), told());
+  t.true(loggedIds().length > 0);
+  t.deepEqual(loggedIds(), loggedIds());
 });
 
-test('an end is told once, and nothing after it', t => {
-  const {stories, messages} = stage();
-  const story = stories.begin('r-1');
-  story.end('cancelled', {}, 'notable');
-  story.record('moved', {});
-  story.end('refused', {}, 'notable');
+test('the end of a request is logged once, and nothing after it', t => {
+  const {tracer, messages} = stage();
+  const trace = tracer.begin('r-1');
+  trace.end('cancelled', {}, 'notable');
+  trace.record('moved', {});
+  trace.end('refused', {}, 'notable');
   t.deepEqual(messages(), ['cancelled']);
 });
 
-test('failures beyond the rate are counted, not told', t => {
-  const {stories, timers, lines} = stage({rate: 10, burst: 20});
+test('failures beyond the rate are counted instead of logged', t => {
+  const {tracer, timers, lines} = stage({rate: 10, burst: 20});
   for (let count = 0; count < 500; count++) {
-    const story = stories.begin(`r-${count}`);
-    story.record('routed', {});
-    story.end('refused', {}, 'notable');
+    const trace = tracer.begin(`r-${count}`);
+    trace.record('routed', {});
+    trace.end('refused', {}, 'notable');
   }
   t.is(lines.length, 20);
   timers.advance(1_000);
   t.is(lines.at(-1)?.fields.count, 980);
 });
 
-test('an id of any length makes a line of bounded length', t => {
-  const {stories, lines} = stage();
-  stories.begin('x'.repeat(10_000)).end('refused', {}, 'notable');
+test('a long request id is truncated in the log', t => {
+  const {tracer, lines} = stage();
+  tracer.begin('x'.repeat(10_000)).end('refused', {}, 'notable');
   t.true(String(lines[0]?.fields.request).length <= 64);
 });
--- a/src/request/decisions/request-tracer.ts
+++ b/src/request/decisions/request-tracer.ts
@@ -1,8 +1,8 @@
 /**
- * What was decided about each request. The decisions are kept until the
- * request ends and only then written: most requests go well, and their lines
- * would cost more than the requests. One in some is written all the same, the
- * same ones in every process, so that a good request can be compared with.
+ * Logs the decisions about requests. The decisions are buffered until the request
+ * ends: most requests succeed, and logging each of them would cost more than
+ * serving it. A sample of the successful requests is logged too, for comparison;
+ * every process samples the same requests.
  */
 import murmurhash from 'murmurhash';
 import {createLineBudget} from '../../log/line-budget.js';
@@ -10,7 +10,7 @@
 import type {Clock} from '../../time/clock.js';
 import type {Timers} from '../../time/timers.js';
 
-/** What was decided; docs/LOGS.md tells the fields of each. */
+/** Kinds of decisions; docs/LOGS.md lists the fields of each. */
 export type Decision =
   | 'routed'
   | 'chosen'
@@ -22,20 +22,20 @@
   | 'cancelled'
   | 'cut';
 
-/** Whether an end is worth its lines whatever the sampling says. */
+/** A notable outcome is always logged, a plain one only if it is sampled. */
 export type OutcomeKind = 'plain' | 'notable';
 
 /** The decisions about one request in one process. */
 export interface RequestTrace {
-  /** Notes a decision and what it was made on. */
+  /** Records a decision and the inputs that it was based on. */
   record(decision: Decision, inputs: Fields): void;
-  /** Notes the last decision; later calls are ignored. */
-  end(decision: Decision, outcome: Fields, ending: OutcomeKind): void;
+  /** Records the last decision; later calls are ignored. */
+  end(decision: Decision, fields: Fields, outcome: OutcomeKind): void;
 }
 
-/** Where stories begin. */
+/** Creates the traces of requests. */
 export interface RequestTracer {
-  /** `request` is the id that all processes know it by. */
+  /** Begins the trace of a request by its id, which all processes share. */
   begin(request: string): RequestTrace;
 }
 
@@ -43,64 +43,72 @@
 export interface RequestTracerOptions {
   readonly log: Log;
   readonly timers: Timers;
-  /** One in so many good requests is written; 256 unless given. */
+  /** One in this many successful requests is logged; 256 by default. */
   readonly sampling?: number;
-  /** Lines a second in the long run; 20 unless given. */
+  /** Average limit of lines per second; 20 by default. */
   readonly rate?: number;
-  /** Lines that may come at once; 60 unless given. */
+  /** Maximum number of lines in a burst; 60 by default. */
   readonly burst?: number;
 }
 
-interface Note {
+interface DecisionRecord {
   readonly decision: Decision;
   readonly fields: Fields;
   /** Milliseconds since the epoch. */
   readonly at: number;
 }
 
-// A line costs 13 us of processor time, 80 us while the code is cold. 20 a
-// second are 0.03 % of a core, a fortieth of what a node may take for all
-// control; a burst of 60 is some 12 requests, enough to see what a sudden
-// failure was.
+// A line costs 13 us of processor time, and 80 us before the code is optimized.
+// 20 lines per second take 0.03 % of a core, which is a fortieth of a node's
+// budget for all control work. A burst of 60 lines covers about 12 requests, which
+// is enough to diagnose a sudden failure.
 const defaults = {sampling: 256, rate: 20, burst: 60};
 
-/** Longest id that is written; a caller may send any. */
-const longestId = 64;
+/** Maximum length of a logged id; callers may send longer ones. */
+const maxIdLength = 64;
 
-/** Creates the stories of one part of a process. */
+/** Creates the tracer of one component of a process. */
 export function createRequestTracer(options: RequestTracerOptions): RequestTracer {
   const {log, timers} = options;
   const limits = {...defaults, ...options};
   const {rate, burst} = limits;
   const budget = createLineBudget({rate, burst, timers, log});
 
-  /** Each process samples the same requests. */
+  /** Hashes the id, so that every process samples the same requests. */
   function isSampled(request: string): boolean {
     return murmurhash.v3(request) % limits.sampling === 0;
   }
 
-  function write(request: string, notes: readonly Note[]): void {
-    if (!budget.take(notes.length)) return;
-    const id = request.slice(0, longestId);
-    for (const {decision, fields, at} of notes) {
+  function write(request: string, records: readonly DecisionRecord[]): void {
+    if (!budget.take(records.length)) return;
+    const id = request.slice(0, maxIdLength);
+    for (const {decision, fields, at} of records) {
       log.info(decision, {request: id, ...fields}, at);
     }
   }
 
-  function finish(request: string, notes: readonly Note[], ending: OutcomeKind) {
-    if (ending === 'notable' || isSampled(request)) write(request, notes);
+  function finish(
+    request: string,
+    records: readonly DecisionRecord[],
+    outcome: OutcomeKind,
+  ) {
+    if (outcome === 'notable' || isSampled(request)) write(request, records);
   }
 
-  return {begin: request => new OpenStory(request, timers, finish)};
+  return {begin: request => new OpenTrace(request, timers, finish)};
 }
 
-/** Takes the notes of a request that has ended. */
-type Finish = (request: string, notes: readonly Note[], ending: OutcomeKind) => void;
+/** Receives the records of a request that has ended. */
+type Finish = (
+  request: string,
+  records: readonly DecisionRecord[],
+  outcome: OutcomeKind,
+) => void;
 
-// A class: functions made for each request would cost more than the notes.
-class OpenStory implements RequestTrace {
-  private readonly notes: Note[] = [];
-  private isOver = false;
+// This is a class, since closures for each request would cost more than the records.
+class OpenTrace implements RequestTrace {
+  private readonly records: DecisionRecord[] = [];
+  private isEnded = false;
 
   constructor(
     private readonly request: string,
@@ -109,20 +117,20 @@
   ) {}
 
   record(decision: Decision, fields: Fields): void {
-    if (this.isOver) return;
-    this.notes.push({decision, fields, at: this.clock.wall()});
+    if (this.isEnded) return;
+    this.records.push({decision, fields, at: this.clock.wall()});
   }
 
-  end(decision: Decision, outcome: Fields, ending: OutcomeKind): void {
-    if (this.isOver) return;
-    this.record(decision, outcome);
-    this.isOver = true;
-    this.finish(this.request, this.notes, ending);
+  end(decision: Decision, fields: Fields, outcome: OutcomeKind): void {
+    if (this.isEnded) return;
+    this.record(decision, fields);
+    this.isEnded = true;
+    this.finish(this.request, this.records, outcome);
   }
 }
 
-/** Stories that nobody reads. */
+/** Creates a tracer that records nothing. */
 export function createNoopRequestTracer(): RequestTracer {
-  const story: RequestTrace = {record: () => {}, end: () => {}};
-  return {begin: () => story};
+  const trace: RequestTrace = {record: () => {}, end: () => {}};
+  return {begin: () => trace};
 }
--- a/src/request/messages/answer.ts
+++ b/src/request/messages/answer.ts
@@ -1,41 +1,42 @@
 import type {AnswerHead, Refusal} from './call.js';
 
 /**
- * Bytes from which an answer is large: it weighs on links between failure
- * domains, and small answers must not wait behind it.
+ * Size in bytes from which an answer counts as large. A large answer loads the
+ * links between failure domains, and small answers must not queue behind it.
  */
 export const largeAnswerThreshold = 16 * 1024;
 
 /**
- * Bytes that an answer sends in its turn before others have theirs. Answers up
- * to there go one after the other, so that each is whole as early as it can be;
- * a film or a feed that never ends must not keep them waiting.
+ * Bytes that one answer may send before the next one is served (the quantum of
+ * the round robin). Answers up to this size are sent one after another, so that
+ * each is complete as early as possible; a video or an endless stream must not
+ * block them.
  */
 export const answerQuantum = 256 * 1024;
 
 /**
- * Where the answer to one request goes. Exactly one of `end`, `refuse` and
- * `cut` ends it; calls after that are ignored.
+ * Receives the answer to one request. Exactly one of `end`, `refuse` and `cut`
+ * ends it; later calls are ignored.
  */
 export abstract class Answer {
-  /** The request has been handed to the upstream's connection. */
+  /** The request has been passed to a connection of the upstream. */
   abstract admit(): void;
 
-  /** The upstream's answer begins. */
+  /** Starts the answer with the upstream's status and headers. */
   abstract start(head: AnswerHead): void;
 
-  /** Passes on a part; false asks the sender to wait for `onDrain`. */
+  /** Writes a chunk of the body; false asks the sender to wait for `onDrain`. */
   abstract write(chunk: Buffer): boolean;
 
-  /** Calls `resume` once after `write` returned false and room is back. */
+  /** Calls `resume` once when there is room again after `write` returned false. */
   abstract onDrain(resume: () => void): void;
 
-  /** The answer is whole. */
+  /** Ends a complete answer. */
   abstract end(): void;
 
-  /** A refusal stands in the answer's place; nothing had started. */
+  /** Answers with a refusal; allowed only before `start`. */
   abstract refuse(refusal: Refusal): void;
 
-  /** The answer broke off after its start; the receiver must see an error. */
+  /** Aborts an answer that has started; the receiver must see an error. */
   abstract cut(): void;
 }
--- a/src/request/messages/hops.ts
+++ b/src/request/messages/hops.ts
@@ -1,34 +1,34 @@
 /**
- * The interface between `decisions/` and `transport/`. Decisions ask for a hop
- * by `GateLinks` or `UpstreamLink`, and hear what became of it by `Answer` or
- * `UpstreamReceiver`; transport hands what arrives to a `CallHandler`. Neither
- * imports the other, so a decision is tested without a socket.
+ * The interface between `decisions/` and `transport/`. Decisions send a call
+ * through `GateLinks` or `UpstreamLink` and receive the result through `Answer`
+ * or `UpstreamReceiver`; transport passes incoming calls to a `CallHandler`.
+ * Neither folder imports the other, so decisions are tested without sockets.
  */
 import type {Announcement} from '../../endpoints/messages.js';
 import type {Answer} from './answer.js';
 import type {AnswerHead, Call, Cancel, Refusal} from './call.js';
 
-/** A node's gate, as its listeners and the node's own entry see it. */
+/** A node's gate, as used by its listeners and by the entry of the same node. */
 export interface CallHandler {
-  /** The upstream instance that it stands before. */
+  /** The upstream instance that the gate serves. */
   readonly instance: string;
   readonly service: string;
-  /** Running and waiting work over the slots. */
+  /** Running and waiting calls divided by the number of slots. */
   readonly load: number;
-  /** The load that work of a policy meets: that of what it needs most. */
+  /** Load for calls under a policy: that of the scarcest resource they need. */
   loadFor(policy: string | undefined): number;
-  /** Takes one call; its answer, or a numbered refusal, goes to `answer`. */
+  /** Handles one call; `answer` receives its answer or a refusal. */
   handle(call: Call, answer: Answer): Cancel;
 }
 
-/** The gate that a call is sent to. */
+/** The gate to which a call is sent. */
 export interface GateTarget {
   readonly announcement: Announcement;
-  /** The gate told its load, work over slots. */
+  /** Stores the load that the gate reported: calls divided by slots. */
   updateLoad(load: number): void;
 }
 
-/** The links to the gates of other nodes. */
+/** Links to the gates of other nodes. */
 export interface GateLinks {
   handle(
     call: Call,
@@ -38,49 +38,50 @@
   ): Cancel;
 }
 
-/** Why an answer is not passed on, and what becomes of its connection. */
+/** Reason for rejecting an upstream's answer, and what to do with its connection. */
 export interface AnswerRejection {
   readonly refusal: Refusal;
-  /** Kept where the answer is in order, broken where later bytes are in doubt. */
+  /** Kept if the answer is well formed; broken if later bytes can't be trusted. */
   readonly connection: 'kept' | 'broken';
 }
 
-/** A request under way. */
+/** A request that has been sent and not ended yet. */
 export interface PendingRequest {
+  /** Continues to read the answer after `UpstreamReceiver.data` returned false. */
   resume(): void;
   /**
-   * Asks the other side to end the work and waits for it to close; harmless
-   * where `cancel` follows.
+   * Asks the peer to end the request and waits for it to close the connection;
+   * `cancel` may follow.
    */
   close(reason: Error): void;
-  /** Breaks the connection off; the receiver's `failed` follows unless it ended. */
+  /** Resets the connection; calls the receiver's `failed` unless it has ended. */
   cancel(reason: Error): void;
 }
 
-/** Hears what becomes of a call that was sent to the upstream. */
+/** Receives the result of a call that was sent to the upstream. */
 export interface UpstreamReceiver {
-  /** The first byte is about to be written; from here on it may have run. */
+  /** The first byte is about to be written; from now on the call may have run. */
   began(): void;
-  /** The answer begins. */
+  /** The status and headers of the answer arrived. */
   head(head: AnswerHead): void;
-  /** An answer begins that must not be passed on. */
+  /** The head of an answer arrived that must not be passed on. */
   rejected(judgement: AnswerRejection): void;
-  /** Takes a part of the answer; false pauses until `Sending.resume`. */
+  /** Takes a chunk of the body; false pauses until `PendingRequest.resume`. */
   data(chunk: Buffer): boolean;
   end(): void;
-  /** It failed; `began` tells whether a byte may have been written. */
+  /** The call failed; `began` is whether a byte may have been written. */
   failed(error: Error, began: boolean): void;
 }
 
-/** The connections between a gate and its upstream. */
+/** Connections from a gate to its upstream. */
 export interface UpstreamLink {
   /**
-   * Sends a call that has `left` milliseconds; undefined when no connection was
-   * free.
+   * Sends a call that has to end within `timeout` milliseconds; undefined if no
+   * connection is free.
    */
   send(
     call: Call,
-    left: number,
+    timeout: number,
     receiver: UpstreamReceiver,
   ): PendingRequest | undefined;
 }
--- a/src/request/messages/safeguards.ts
+++ b/src/request/messages/safeguards.ts
@@ -1,38 +1,38 @@
 /**
- * Safeguards of the request path that tests can take out, to show the failure
- * that each one prevents. Test only: a process runs with all of them.
+ * Safeguards of the request path that tests can disable to show the failure that
+ * each one prevents. For tests only: a process always runs with all of them.
  */
 export interface Safeguards {
-  /** Work that may have reached its upstream is `unknown`, not `not-run`. */
+  /** A failed call that may have reached its upstream is `unknown`, not `not-run`. */
   readonly unknownEffect: boolean;
-  /** Work that may have begun is sent again only when it is idempotent. */
+  /** A call that may have run is retried only if it is idempotent. */
   readonly once: boolean;
   /**
-   * Calls with gathered bodies go by a framed link, on which no header can pass
-   * for a refusal; without it by an HTTP connection each.
+   * Calls with buffered bodies use a framed link, on which no header can be
+   * mistaken for a refusal. If disabled, each call uses an HTTP connection.
    */
   readonly framedLinks: boolean;
-  /** Internal headers from outside the mesh are dropped. */
+  /** Internal headers that come from outside the mesh are removed. */
   readonly internalHeaders: boolean;
-  /** An answer whose end cannot be told from a cut is an error. */
+  /** An answer without framing, which could be truncated unnoticed, is an error. */
   readonly framing: boolean;
-  /** A cut answer is reset, not ended. */
+  /** A truncated answer resets its connection, so that the receiver sees an error. */
   readonly visibleCuts: boolean;
-  /** A gate takes only calls that name its own instance. */
+  /** A gate accepts only calls that are addressed to its instance. */
   readonly instanceCheck: boolean;
-  /** A large upload waits for its admission, so that it can be sent elsewhere. */
+  /** A large upload is sent after its admission, so that it can be retried. */
   readonly heldUploads: boolean;
-  /** Work whose caller has left is broken off. */
+  /** A call whose caller has disconnected is cancelled. */
   readonly cancellation: boolean;
-  /** The slot of broken-off work is held until its upstream has closed. */
+  /** A cancelled call keeps its slot until the upstream has closed the connection. */
   readonly heldSlots: boolean;
-  /** The gate looks again for a drain when work leaves the queue. */
+  /** The gate checks for a drain again when a call leaves the queue. */
   readonly drainAtStart: boolean;
-  /** A request that is held is refused. */
+  /** A quarantined request is refused. */
   readonly quarantine: boolean;
 }
 
-/** What a process runs with. */
+/** The safeguards of a process. */
 export const allSafeguards: Safeguards = {
   unknownEffect: true,
   once: true,
@@ -48,7 +48,7 @@
   quarantine: true,
 };
 
-/** All safeguards but for those that a test has taken out. */
+/** All safeguards, with the changes of a test. */
 export function resolveSafeguards(
   changes: Partial<Safeguards> | undefined,
 ): Safeguards {
--- a/src/request/messages/status.ts
+++ b/src/request/messages/status.ts
@@ -1,2 +1,2 @@
-/** HTTP statuses from this one on say that the server failed. */
+/** The first HTTP status that reports a server error. */
 export const firstServerError = 500;
--- a/src/request/messages/upload.ts
+++ b/src/request/messages/upload.ts
@@ -1,48 +1,48 @@
-/** The body of a request, as it is handed from part to part. */
+/** Request bodies, as passed between the modules of the request path. */
 
-/** Bodies up to this many bytes are gathered before they are sent on. */
+/** Bodies up to this many bytes are buffered before they are forwarded. */
 export const bufferLimit = 64 * 1024;
 
-/** What has arrived of a streamed body. */
+/** The part of a streamed body that has been received. */
 export interface ReceivedBody {
-  /** Its first bytes, `gatherLimit` at most. */
+  /** The first bytes, at most `bufferLimit`. */
   readonly bytes: Buffer;
-  /** Whether these are all, and its end was read. */
+  /** Whether this is the whole body and its end was read. */
   readonly isWhole: boolean;
 }
 
-/** A body that streams from its sender. */
+/** A body that is streamed from its sender. */
 export interface StreamUpload {
   readonly kind: 'stream';
-  /** Bytes announced, where they were. */
+  /** Length in bytes, if the sender announced it. */
   readonly length: number | undefined;
-  /** Whether an attempt took more than the first part; then it can't be resent. */
+  /** Whether an attempt has read past the first chunk; then it can't be resent. */
   consumed(): boolean;
-  /** Lets the parts after the first through; called once work is admitted. */
+  /** Releases the chunks after the first; called when the call is admitted. */
   release(): void;
-  /** The parts; each call starts again from the first part. */
+  /** The chunks of the body; each call starts again from the first chunk. */
   parts(): AsyncIterable<Buffer>;
   /**
-   * The attempt that reads the parts was refused, and another follows. Called at
-   * once: the refused one may have been let through in the same moment, and would
-   * take a part away before the next attempt's connection is open.
+   * Resets the body after a refused attempt, before the next one. Called
+   * immediately: the refused attempt may have been admitted at the same moment,
+   * and could consume a chunk before the next attempt's connection is open.
    */
   rewind(): void;
   /**
-   * Calls `observe` once when nothing more of it is read: with true when its last
-   * part was, with false when it is given up.
+   * Calls `observe` once when reading stops: with true after the last chunk, and
+   * with false if the body is abandoned.
    */
   onEnd(observe: (isWhole: boolean) => void): void;
   /**
-   * Gathers the first bytes before any attempt reads them, `gatherLimit` or
-   * all; rejects with a `Failure` when they don't come.
+   * Buffers the first `bufferLimit` bytes, or the whole body if it is shorter,
+   * before any attempt reads it. Rejects with a `Failure` if they don't arrive.
    */
   bufferFirst(): Promise<void>;
-  /** What was read of its first bytes so far. */
+  /** The first bytes that have been received so far. */
   received(): ReceivedBody;
-  /** Its work has ended, whatever was read of it. */
+  /** The call has ended, regardless of how much of the body was read. */
   close(): void;
-  /** Reads on and forgets what comes; for a sender that writes on after its answer. */
+  /** Reads and drops the rest, for a sender that continues after its answer. */
   discard(): void;
 }
 
