--- a/src/request/decisions/answer-sizes.test.ts
+++ b/src/request/decisions/answer-sizes.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
 import {createAnswerSizes} from './answer-sizes.js';
 
-test('answers of a route are large when most of them are', t => {
+test('answers of a policy are large if their mean is large', t => {
   const sizes = createAnswerSizes();
   t.false(sizes.isLarge('archives'));
   sizes.add('archives', 90_000);
@@ -10,7 +10,7 @@
   t.false(sizes.isLarge('lookups'));
 });
 
-test('one odd answer does not change what a route’s answers are', t => {
+test('a single outlier does not change the size of a policy’s answers', t => {
   const sizes = createAnswerSizes();
   for (let count = 0; count < 50; count++) sizes.add('lookups', 400);
   sizes.add('lookups', 120_000);
--- a/src/request/decisions/answer-sizes.ts
+++ b/src/request/decisions/answer-sizes.ts
@@ -1,29 +1,29 @@
 /**
- * Which policies' answers are large, learnt from the answers that came. Links
- * between failure domains are dear, and a request weighs no more than its
- * answer: of a service whose lookups answer with 0.4 KB and whose archives with
- * 90 KB, the archives were more than nine tenths of the bytes between domains.
+ * Learns from past answers which policies have large answers. Links between
+ * failure domains are expensive, and the size of the answers determines their
+ * load: in a service with lookups of 0.4 KB and archives of 90 KB, the archives
+ * made up more than nine tenths of the bytes between domains.
  */
 import {largeAnswerThreshold} from '../messages/answer.js';
 import type {CallSize} from './instance-pool.js';
 
-/** Weight of the newest answer in the mean. */
-const newest = 0.1;
+/** Weight of the newest answer in the moving average. */
+const newestWeight = 0.1;
 
-/** Policies whose answers are kept in mind; a service has a handful. */
-const policyLimit = 256;
+/** Maximum number of policies that are tracked; services have few policies. */
+const maxPolicies = 256;
 
 /** The sizes of answers by policy. */
 export interface AnswerSizes {
-  /** An answer under a policy had so many bytes. */
+  /** Records the size of an answer under a policy, in bytes. */
   add(policy: string, bytes: number): void;
-  /** The mean of late; 0 before the first. */
+  /** Moving average in bytes; 0 before the first answer. */
   mean(policy: string): number;
   isLarge(policy: string): boolean;
   sizeOf(policy: string): CallSize;
 }
 
-/** Creates sizes that know nothing yet; unknown answers are not large. */
+/** Creates empty statistics; answers of unknown size count as small. */
 export function createAnswerSizes(): AnswerSizes {
   const means = new Map<string, number>();
   const mean = (policy: string) => means.get(policy) ?? 0;
@@ -31,9 +31,12 @@
 
   return {
     add: (policy, bytes) => {
-      const old = means.get(policy);
-      if (old === undefined && means.size >= policyLimit) return;
-      const next = old === undefined ? bytes : old + (bytes - old) * newest;
+      const previous = means.get(policy);
+      if (previous === undefined && means.size >= maxPolicies) return;
+      const next =
+        previous === undefined
+          ? bytes
+          : previous + (bytes - previous) * newestWeight;
       means.set(policy, next);
     },
     mean,
--- a/src/request/decisions/crash-detector.test.ts
+++ b/src/request/decisions/crash-detector.test.ts
@@ -4,25 +4,25 @@
 import type {Call} from '../messages/call.js';
 import {createCrashDetector} from './crash-detector.js';
 
-function stage(listens: () => Promise<boolean>) {
+function stage(isListening: () => Promise<boolean>) {
   const timers = createFakeTimers();
   const crashes: Array<readonly Call[]> = [];
-  const watch = createCrashDetector({
+  const detector = createCrashDetector({
     timers,
-    isListening: listens,
+    isListening: isListening,
     onCrash: calls => void crashes.push(calls),
   });
-  return {timers, watch, crashes};
+  return {timers, detector, crashes};
 }
 
-test('all calls that a crash ended are told together, once', async t => {
-  const {timers, watch, crashes} = stage(async () => false);
-  watch.lost(callOf({id: 'one'}));
+test('all calls that a crash ended are reported together, once', async t => {
+  const {timers, detector, crashes} = stage(async () => false);
+  detector.lost(callOf({id: 'one'}));
   timers.advance(20);
-  watch.lost(callOf({id: 'two'}));
+  detector.lost(callOf({id: 'two'}));
   timers.advance(30);
   await settle();
-  watch.lost(callOf({id: 'late'}));
+  detector.lost(callOf({id: 'late'}));
   timers.advance(50);
   await settle();
   t.deepEqual(
@@ -31,15 +31,15 @@
   );
 });
 
-test('connections that break under an upstream that goes on are no crash', async t => {
-  let listens = true;
-  const {timers, watch, crashes} = stage(async () => listens);
-  watch.lost(callOf({id: 'cut'}));
+test('a broken connection to a running upstream is not a crash', async t => {
+  let isAlive = true;
+  const {timers, detector, crashes} = stage(async () => isAlive);
+  detector.lost(callOf({id: 'cut'}));
   timers.advance(50);
   await settle();
   t.deepEqual(crashes, []);
-  listens = false;
-  watch.lost(callOf({id: 'crashed'}));
+  isAlive = false;
+  detector.lost(callOf({id: 'crashed'}));
   timers.advance(50);
   await settle();
   t.deepEqual(
--- a/src/request/decisions/crash-detector.ts
+++ b/src/request/decisions/crash-detector.ts
@@ -1,6 +1,7 @@
 /**
- * Tells a crash of the upstream from a connection that broke. All that ran when
- * the process ended is lost within moments, and then nothing listens any more.
+ * Distinguishes a crash of the upstream from a broken connection. When the process
+ * ends, all its connections fail within milliseconds and nothing listens at its
+ * address any more.
  */
 import type {Timers} from '../../time/timers.js';
 import type {Call} from '../messages/call.js';
@@ -8,44 +9,44 @@
 /** Options of `createCrashWatch`. */
 export interface CrashDetectorOptions {
   readonly timers: Timers;
-  /** Whether anything listens at the upstream's address; must not reject. */
+  /** Whether a process listens at the upstream's address; must not reject. */
   readonly isListening: () => Promise<boolean>;
-  /** Hears of a crash with the calls that it ended. */
+  /** Called for a crash with the calls that were running. */
   readonly onCrash: (calls: readonly Call[]) => void;
 }
 
-/** Watches for crashes of one life of an upstream. */
+/** Detects the crash of one life of an upstream. */
 export interface CrashDetector {
-  /** The upstream broke off while it ran this. */
+  /** Records that the connection to the upstream failed during the call. */
   lost(call: Call): void;
 }
 
-/** Milliseconds in which the connections of a process that ended break off. */
-const gatherTime = 50;
+/** Milliseconds within which all connections of a crashed process fail. */
+const collectionTime = 50;
 
-/** Creates the watch; a life crashes once. */
+/** Creates the detector; it reports at most one crash. */
 export function createCrashDetector(options: CrashDetectorOptions): CrashDetector {
   const {timers, isListening, onCrash} = options;
-  let lost: Call[] = [];
-  let isOver = false;
+  let lostCalls: Call[] = [];
+  let hasCrashed = false;
 
-  async function look(): Promise<void> {
-    const calls = lost;
-    const listens = await isListening();
-    if (isOver) return;
-    if (listens) {
-      lost = [];
+  async function check(): Promise<void> {
+    const calls = lostCalls;
+    const isAlive = await isListening();
+    if (hasCrashed) return;
+    if (isAlive) {
+      lostCalls = [];
       return;
     }
-    isOver = true;
+    hasCrashed = true;
     onCrash(calls);
   }
 
   return {
     lost: call => {
-      if (isOver) return;
-      lost.push(call);
-      if (lost.length === 1) timers.after(gatherTime, () => void look());
+      if (hasCrashed) return;
+      lostCalls.push(call);
+      if (lostCalls.length === 1) timers.after(collectionTime, () => void check());
     },
   };
 }
--- a/src/request/decisions/durations.test.ts
+++ b/src/request/decisions/durations.test.ts
@@ -2,7 +2,7 @@
 import {createRandom} from '../../random/random.js';
 import {createKindDurations} from './durations.js';
 
-test('a kind is judged by its own work, all work by every kind', t => {
+test('a kind has separate estimates, and all kinds count in the overall mean', t => {
   const durations = createKindDurations();
   for (let count = 0; count < 200; count++) {
     durations.add(100, 'upload');
@@ -13,7 +13,7 @@
   t.true(durations.mean() > 40 && durations.mean() < 70);
 });
 
-test('work of a kind beyond the limit counts once, as work of no kind does', t => {
+test('a call of a kind beyond the limit counts once, like a call without a kind', t => {
   const durations = createKindDurations();
   for (let count = 0; count < 64; count++) durations.add(10, `kind ${count}`);
   durations.add(110, 'one more');
@@ -22,7 +22,7 @@
   t.is(durations.mean(), 13.5);
 });
 
-test('what three in four take is above the mean where some take long', t => {
+test('the upper quartile is above the mean if durations vary', t => {
   const durations = createKindDurations();
   const random = createRandom(5);
   for (let count = 0; count < 4_000; count++) {
--- a/src/request/decisions/egress-reservations.ts
+++ b/src/request/decisions/egress-reservations.ts
@@ -1,7 +1,7 @@
 /**
- * What is reserved of the link out of a VM. An answer that can't leave in time
- * wastes a slot, and the bytes of it make others late, so its work is refused
- * before it starts.
+ * Reserves capacity of the egress link of a VM for large answers. An answer that
+ * can't be sent in time wastes a slot and delays other answers, so its request is
+ * refused before it starts.
  */
 import type {Clock} from '../../time/clock.js';
 import {answerQuantum} from '../messages/answer.js';
@@ -10,35 +10,35 @@
 import {createRefusal} from '../messages/refusal.js';
 import {createAnswerSizes} from './answer-sizes.js';
 
-/** Room on the link that one piece of work has reserved. */
+/** Link capacity that is reserved for the answer to one call. */
 export interface EgressReservation {
-  /** So many bytes of its answer have come and wait for the link by themselves. */
+  /** Releases bytes of the answer that arrived and now wait in the egress queue. */
   arrived(bytes: number): void;
-  /** No more of it will come. */
+  /** Releases the rest, since no more of the answer will arrive. */
   end(): void;
 }
 
-/** The room on the link out. */
+/** The reservations on one egress link. */
 export interface EgressReservations {
-  /** Reserved bytes, with one more answer, over what leaves in good time. */
+  /** Bytes reserved, with one more answer, divided by those sent in time. */
   readonly load: number;
-  /** Whether answers of a kind are large, as far as is known. */
+  /** Whether answers of a kind are large, by their mean size so far. */
   isLarge(kind: string | undefined): boolean;
-  /** Why work of a kind can't start, whose answer has to leave until then. */
+  /** The refusal if an answer of a kind can't be sent before `until`. */
   refusal(kind: string | undefined, until: number): Refusal | undefined;
-  /** Keeps room for work of a kind. */
+  /** Reserves capacity for an answer of a kind. */
   reserve(kind: string | undefined): EgressReservation;
-  /** An answer of a kind had so many bytes. */
+  /** Records the size of an answer of a kind, in bytes. */
   recordSize(kind: string | undefined, bytes: number): void;
 }
 
 /** Options of `createEgressReservations`. */
 export interface EgressReservationsOptions {
-  /** Bytes a second that answers may take. */
+  /** Capacity for answers, in bytes per second. */
   readonly rate: number;
-  /** Bytes of answers that wait for the link. */
+  /** Bytes of answers in the egress queue. */
   readonly waiting: () => number;
-  /** Bytes a second that small answers take; none unless given. */
+  /** Bytes per second that small answers use; 0 if absent. */
   readonly taken?: () => number;
   readonly clock: Clock;
 }
@@ -46,56 +46,57 @@
 const millisecondsPerSecond = 1000;
 
 /**
- * Share of its time in which an answer has to leave by the estimate. The rest is
- * for answers without a reservation that go before it, those of the entry's
- * callers and small ones, for sizes beyond the mean, and for the way on.
+ * Share of the remaining time within which an answer must be sent, by the
+ * estimate. The rest allows for answers without a reservation that are sent
+ * first (small ones and those to the entry's callers), for sizes above the mean,
+ * and for the rest of the route.
  */
-const promptShare = 0.65;
+const sendTimeShare = 0.65;
 
-/** Weight of the newest answer in the mean of the time that they have. */
-const newest = 0.1;
+/** Weight of the newest answer in the moving average of send times. */
+const newestWeight = 0.1;
 
-/** Seconds that a refused caller waits at least: one large answer's time. */
-const leastWait = 0.05;
+/** Minimum retry delay in seconds: the time to send one large answer. */
+const minRetryDelay = 0.05;
 
-/** Share of the rate that large answers are taken to have at least. */
-const leastFree = 0.05;
+/** Share of the rate that is assumed to be free for large answers at least. */
+const minFreeShare = 0.05;
 
 const noReservation: EgressReservation = {arrived: () => {}, end: () => {}};
 
-/** Creates the room of a link that carries nothing yet. */
+/** Creates the reservations of an idle link. */
 export function createEgressReservations(
   options: EgressReservationsOptions,
 ): EgressReservations {
   const {rate, waiting, clock} = options;
   const sizes = createAnswerSizes();
-  /** Reserved bytes that have not come yet. */
+  /** Reserved bytes that have not arrived yet. */
   let expected = 0;
-  /** Reservations of each kind whose work has not ended. */
-  const underWay = new Map<string, number>();
-  /** Seconds in which a large answer usually has to leave, and its bytes. */
-  let usualTime: number | undefined;
-  let usualSize = 0;
+  /** Number of open reservations by kind. */
+  const openCounts = new Map<string, number>();
+  /** Moving averages of the send time in seconds and of the size in bytes. */
+  let averageTime: number | undefined;
+  let averageSize = 0;
 
-  /** What others wait for when it has its turn. */
+  /** Bytes that an answer sends before the next one is served. */
   const sizeOf = (kind: string) => Math.min(answerQuantum, sizes.mean(kind));
 
   function observe(time: number, size: number): void {
-    const weight = usualTime === undefined ? 1 : newest;
-    usualTime = (usualTime ?? 0) * (1 - weight) + time * weight;
-    usualSize += (size - usualSize) * weight;
+    const weight = averageTime === undefined ? 1 : newestWeight;
+    averageTime = (averageTime ?? 0) * (1 - weight) + time * weight;
+    averageSize += (size - averageSize) * weight;
   }
 
-  /** Bytes a second that are left for large answers. */
+  /** Bytes per second that are free for large answers. */
   function freeRate(): number {
     const taken = options.taken?.() ?? 0;
-    return Math.max(rate * leastFree, rate - taken);
+    return Math.max(rate * minFreeShare, rate - taken);
   }
 
-  function leave(kind: string): void {
-    const others = underWay.get(kind)! - 1;
-    if (others > 0) underWay.set(kind, others);
-    else underWay.delete(kind);
+  function closeReservation(kind: string): void {
+    const count = openCounts.get(kind)! - 1;
+    if (count > 0) openCounts.set(kind, count);
+    else openCounts.delete(kind);
   }
 
   const backlog = () => expected + waiting();
@@ -104,45 +105,45 @@
 
   return {
     get load() {
-      if (usualTime === undefined) return 0;
-      return (backlog() + usualSize) / (freeRate() * usualTime);
+      if (averageTime === undefined) return 0;
+      return (backlog() + averageSize) / (freeRate() * averageTime);
     },
     isLarge,
     refusal: (kind, until) => {
       if (!isLarge(kind)) return undefined;
       const size = sizeOf(kind!);
-      const left = (until - clock.now()) / millisecondsPerSecond;
-      const time = Math.max(0, left * promptShare);
-      // A call that is late already tells nothing of the time that others have.
+      const remainingTime = (until - clock.now()) / millisecondsPerSecond;
+      const time = Math.max(0, remainingTime * sendTimeShare);
+      // A call that is late already says nothing about the time that others have.
       if (time > 0) observe(time, size);
-      const before = backlog();
-      const speed = freeRate();
-      // Whatever the estimates, a free link is worth a try.
-      if (before === 0 || (before + size) / speed <= time) return undefined;
-      // Only answers that come correct an estimate by which none ever fits.
-      if (size / speed > time && !underWay.has(kind!)) return undefined;
-      const wait = Math.max(leastWait, before / speed);
+      const queued = backlog();
+      const free = freeRate();
+      // An idle link is always used, even if the answer seems to be too large.
+      if (queued === 0 || (queued + size) / free <= time) return undefined;
+      // If no answer ever seems to fit, one is admitted to correct the estimate.
+      if (size / free > time && !openCounts.has(kind!)) return undefined;
+      const wait = Math.max(minRetryDelay, queued / free);
       return createRefusal(requestCodes.deadlineUnreachable, undefined, wait);
     },
     reserve: kind => {
       if (!isLarge(kind)) return noReservation;
-      // Whole bytes, so that what is taken back leaves no rest.
-      let left = Math.round(sizeOf(kind!));
-      expected += left;
-      underWay.set(kind!, (underWay.get(kind!) ?? 0) + 1);
-      let isOver = false;
+      // Whole bytes avoid rounding errors when the reservation is released.
+      let remaining = Math.round(sizeOf(kind!));
+      expected += remaining;
+      openCounts.set(kind!, (openCounts.get(kind!) ?? 0) + 1);
+      let isEnded = false;
 
       function arrived(bytes: number): void {
-        const less = Math.min(left, bytes);
-        left -= less;
-        expected -= less;
+        const released = Math.min(remaining, bytes);
+        remaining -= released;
+        expected -= released;
       }
 
       function end(): void {
-        arrived(left);
-        if (isOver) return;
-        isOver = true;
-        leave(kind!);
+        arrived(remaining);
+        if (isEnded) return;
+        isEnded = true;
+        closeReservation(kind!);
       }
 
       return {arrived, end};
--- a/src/request/decisions/ejection.test.ts
+++ b/src/request/decisions/ejection.test.ts
@@ -12,7 +12,7 @@
   for (let count = 0; count < times; count++) ejection.failed(instance);
 }
 
-test('failures in a row leave an instance out, successes between do not', t => {
+test('an instance is ejected after consecutive failures only', t => {
   const ejection = createEjection({log, clock: createFakeTimers()});
   fail(ejection, 'a', 4);
   ejection.succeeded('a');
@@ -22,18 +22,18 @@
   t.false(ejection.allowed(service).has('a'));
 });
 
-for (const ceiling of [1, 0.5]) {
-  test(`a fault that all instances share, ceiling ${ceiling}`, t => {
-    // Every instance fails, say by a bad disk behind all of them. Without a
-    // ceiling the service is left empty and stays so when the fault has gone.
-    const ejection = createEjection({log, clock: createFakeTimers(), maxShare: ceiling});
+for (const maxShare of [1, 0.5]) {
+  test(`a fault of all instances, maximum share of ejections ${maxShare}`, t => {
+    // Every instance fails, for example because of a shared disk. Without a maximum
+    // the service has no instances left, even after the fault has been fixed.
+    const ejection = createEjection({log, clock: createFakeTimers(), maxShare});
     for (const instance of service) fail(ejection, instance);
-    t.is(ejection.allowed(service).size, ceiling === 1 ? 0 : 2);
-    t.is(ejection.allowed(['a']).size, ceiling === 1 ? 0 : 1);
+    t.is(ejection.allowed(service).size, maxShare === 1 ? 0 : 2);
+    t.is(ejection.allowed(['a']).size, maxShare === 1 ? 0 : 1);
   });
 }
 
-test('an instance comes back, and one more failure leaves it out for longer', t => {
+test('one failure after an ejection causes a longer ejection', t => {
   const clock = createFakeTimers();
   const ejection = createEjection({log, clock, duration: 1000});
   fail(ejection, 'a');
@@ -46,7 +46,7 @@
   t.true(ejection.allowed(service).has('a'));
 });
 
-test('answers to work sent before do not bring an instance back early', t => {
+test('answers to earlier calls do not end an ejection', t => {
   const ejection = createEjection({log, clock: createFakeTimers()});
   fail(ejection, 'a');
   ejection.succeeded('a');
--- a/src/request/decisions/ejection.ts
+++ b/src/request/decisions/ejection.ts
@@ -1,103 +1,106 @@
 /**
- * Which instances are left out on an entry's own evidence. What an upstream
- * says of its health may lag or be untrue; failed work does not lie.
+ * Ejects instances from load balancing after failed calls of an entry (outlier
+ * ejection). The health that an upstream reports may be outdated or wrong, whereas
+ * failed calls are certain.
  */
 import type {Log} from '../../log/log.js';
 import type {Clock} from '../../time/clock.js';
 
 /** Options of `createEjection`; times in milliseconds. */
 export interface EjectionOptions {
-  /** Failures in a row after which an instance is left out; 5 unless given. */
+  /** Consecutive failures after which an instance is ejected; 5 by default. */
   readonly failures?: number;
-  /** How long the first time; doubled each next one; 5000 unless given. */
+  /** Duration of the first ejection, doubled for each next; 5000 by default. */
   readonly duration?: number;
-  /** Longest time left out; 60000 unless given. */
+  /** Maximum duration of an ejection; 60000 by default. */
   readonly maxDuration?: number;
-  /** Largest share of a service's instances left out; 0.5 unless given. */
+  /** Maximum share of a service's instances that are ejected; 0.5 by default. */
   readonly maxShare?: number;
   readonly clock: Clock;
   readonly log: Log;
 }
 
-/** The instances that one entry leaves out. */
+/** The instances that one entry has ejected. */
 export interface Ejection {
-  /** Work at an instance succeeded. */
+  /** Records a successful call at an instance. */
   succeeded(instance: string): void;
-  /** Work at an instance failed by the instance's fault. */
+  /** Records a call that failed because of the instance. */
   failed(instance: string): void;
-  /** Whether an instance is left out, unless too many are. */
+  /** Whether an instance is ejected, regardless of the maximum share. */
   isEjected(instance: string): boolean;
-  /** Those of a service's instances that may be used; never none of some. */
+  /** The instances of a service that may be used, given the maximum share. */
   allowed(instances: readonly string[]): ReadonlySet<string>;
-  /** Forgets instances that are gone. */
+  /** Removes the record of an instance that is gone or has restarted. */
   remove(instance: string): void;
 }
 
-interface Evidence {
+interface FailureRecord {
   /** Failures since the last success. */
   failures: number;
-  /** How often it was left out since it last did well. */
+  /** Number of ejections since the last success. */
   times: number;
+  /** End of the current or last ejection, in milliseconds. */
   until: number;
 }
 
 const defaults = {failures: 5, duration: 5_000, maxDuration: 60_000, maxShare: 0.5};
 
-/** Creates an ejection that has no evidence yet. */
+/** Creates an ejection without records. */
 export function createEjection(options: EjectionOptions): Ejection {
   const {clock, log} = options;
   const limits = {...defaults, ...options};
-  const known = new Map<string, Evidence>();
+  const records = new Map<string, FailureRecord>();
 
-  function leaveOut(instance: string, evidence: Evidence): void {
-    const doubled = limits.duration * 2 ** evidence.times;
+  function eject(instance: string, record: FailureRecord): void {
+    const doubled = limits.duration * 2 ** record.times;
     const duration = Math.min(doubled, limits.maxDuration);
-    evidence.until = clock.now() + duration;
-    evidence.times++;
-    const {failures, times} = evidence;
+    record.until = clock.now() + duration;
+    record.times++;
+    const {failures, times} = record;
     log.warn('instance ejected', {instance, failures, times, duration});
-    // One more failure on its return is enough to leave it out again.
-    evidence.failures = limits.failures - 1;
+    // After the ejection, one failure is enough to eject the instance again.
+    record.failures = limits.failures - 1;
   }
 
   /**
-   * The ones left out, least recently first, up to the ceiling. Without it a
-   * fault that all instances share would leave a service without any.
+   * The ejected instances, up to the maximum share; those with the latest end
+   * come first. Without a maximum, a fault that affects all instances would leave
+   * a service without instances.
    */
   function ejected(instances: readonly string[]): string[] {
-    const out = instances.filter(isOut);
-    const most = Math.floor(instances.length * limits.maxShare);
-    return out
-      .sort((left, right) => known.get(right)!.until - known.get(left)!.until)
-      .slice(0, most);
+    const candidates = instances.filter(isOut);
+    const maxCount = Math.floor(instances.length * limits.maxShare);
+    return candidates
+      .sort((left, right) => records.get(right)!.until - records.get(left)!.until)
+      .slice(0, maxCount);
   }
 
   function isOut(instance: string): boolean {
-    const evidence = known.get(instance);
-    return evidence !== undefined && evidence.until > clock.now();
+    const record = records.get(instance);
+    return record !== undefined && record.until > clock.now();
   }
 
   return {
     isEjected: isOut,
     succeeded: instance => {
-      const evidence = known.get(instance);
-      if (evidence === undefined || evidence.until > clock.now()) return;
-      if (evidence.times > 0) log.info('instance in use again', {instance});
-      known.delete(instance);
+      const record = records.get(instance);
+      if (record === undefined || record.until > clock.now()) return;
+      if (record.times > 0) log.info('instance in use again', {instance});
+      records.delete(instance);
     },
     failed: instance => {
-      const evidence = known.get(instance) ?? {failures: 0, times: 0, until: 0};
-      known.set(instance, evidence);
-      if (evidence.until > clock.now()) return;
-      evidence.failures++;
-      if (evidence.failures >= limits.failures) leaveOut(instance, evidence);
+      const record = records.get(instance) ?? {failures: 0, times: 0, until: 0};
+      records.set(instance, record);
+      if (record.until > clock.now()) return;
+      record.failures++;
+      if (record.failures >= limits.failures) eject(instance, record);
     },
     allowed: instances => {
       const allowed = new Set(instances);
-      if (known.size === 0) return allowed;
+      if (records.size === 0) return allowed;
       for (const name of ejected(instances)) allowed.delete(name);
       return allowed;
     },
-    remove: instance => void known.delete(instance),
+    remove: instance => void records.delete(instance),
   };
 }
--- a/src/request/decisions/gate-quarantine.ts
+++ b/src/request/decisions/gate-quarantine.ts
@@ -1,6 +1,7 @@
 /**
- * A gate's part in quarantines: it refuses what is held, runs a trial once, and
- * tells which requests ran when its upstream crashed and which were answered.
+ * Quarantine at a gate: refuses quarantined requests, runs each trial once, and
+ * reports which requests were running when the upstream crashed and which
+ * quarantined requests were answered.
  */
 import type {Configuration} from '../../configuration/configuration.js';
 import type {Suspect} from '../../quarantine/messages.js';
@@ -15,33 +16,33 @@
 
 /** Options of `createGateQuarantine`. */
 export interface GateQuarantineOptions {
-  /** The configuration in force, undefined until one is proved fresh. */
+  /** The configuration in force; undefined until one is proved fresh. */
   readonly configuration: () => Configuration | undefined;
-  /** This life of the instance, as a trial names it; without it none runs. */
+  /** Life of the instance, by which trials are assigned; no trials run if absent. */
   readonly life?: string | undefined;
-  /** Whether anything listens at the upstream's address; true unless given. */
+  /** Whether a process listens at the upstream's address; true by default. */
   readonly isListening?: (() => Promise<boolean>) | undefined;
-  /** Hears of requests that run when the upstream ends by itself. */
+  /** Called with the requests that were running when the upstream crashed. */
   readonly onCrash?: ((suspects: readonly Suspect[]) => void) | undefined;
-  /** Hears of each quarantined request that the upstream answered, by name. */
+  /** Called with the name of each quarantined request that was answered. */
   readonly onCleared?: ((request: string) => void) | undefined;
   readonly timers: Timers;
   readonly safeguards: Pick<Safeguards, 'quarantine'>;
 }
 
-/** A gate's part in quarantines. */
+/** Quarantine at one gate. */
 export interface GateQuarantine {
-  /** Why the call must not run here; undefined when it may. */
+  /** The refusal if the call must not run here. */
   refusalFor(call: Call): Refusal | undefined;
-  /** The call starts; if it is on trial, that is over with this. */
+  /** Records the start of the call; a trial can't be started again. */
   started(call: Call): void;
-  /** The upstream gave its own whole answer. */
+  /** Records that the upstream gave a complete answer. */
   answered(call: Call): void;
-  /** The upstream broke off while it ran the call. */
+  /** Records that the connection to the upstream failed during the call. */
   lost(call: Call): void;
 }
 
-/** Creates the part of the gate before one life of an upstream. */
+/** Creates the quarantine of a gate for one life of its upstream. */
 export function createGateQuarantine(
   options: GateQuarantineOptions,
 ): GateQuarantine {
@@ -49,32 +50,33 @@
   const trials = createTrials(options.life);
   const quarantines = createQuarantines(options.configuration, safeguards);
   /**
-   * Trials without an answer. One whose caller left runs no more when the
-   * instance ends; told as untried, it would get another trial elsewhere.
+   * Trials that were not answered. A trial whose caller has disconnected is not
+   * running any more when the instance crashes. It is still reported, because it
+   * would otherwise get another trial at another instance.
    */
-  const tried = new Set<Call>();
+  const unanswered = new Set<Call>();
   const crashes = createCrashDetector({
     timers,
     isListening: options.isListening ?? (() => Promise.resolve(true)),
     onCrash: calls => {
-      options.onCrash?.(suspectsOf([...new Set([...calls, ...tried])]));
+      options.onCrash?.(suspectsOf([...new Set([...calls, ...unanswered])]));
     },
   });
 
   return {
     refusalFor: call => {
       const quarantine = quarantines.find(call);
-      const isFree = quarantine === undefined || trials.allows(quarantine);
-      return isFree ? undefined : quarantineRefusal(quarantine.name);
+      const isAllowed = quarantine === undefined || trials.allows(quarantine);
+      return isAllowed ? undefined : quarantineRefusal(quarantine.name);
     },
     started: call => {
       const quarantine = quarantines.find(call);
       if (quarantine?.state !== 'on-trial') return;
       trials.began(quarantine);
-      tried.add(call);
+      unanswered.add(call);
     },
     answered: call => {
-      tried.delete(call);
+      unanswered.delete(call);
       const quarantine = quarantines.find(call);
       if (quarantine !== undefined) options.onCleared?.(quarantine.name);
     },
--- a/src/request/decisions/retry-budget.ts
+++ b/src/request/decisions/retry-budget.ts
@@ -1,39 +1,39 @@
-/** How much of an entry's work towards one service may be retries. */
+/** Limits the share of an entry's calls to one service that may be retries. */
 
 /** Options of `createRetryBudget`. */
 export interface RetryBudgetOptions {
-  /** Retries that each request earns; 0.1 unless given. */
+  /** Retries that each request adds to the budget; 0.1 by default. */
   readonly ratio?: number;
-  /** Retries that can be saved up; 10 unless given. */
+  /** Maximum number of retries in the budget; 10 by default. */
   readonly most?: number;
 }
 
-/** A store of retries, filled by requests. */
+/** A token bucket of retries that is filled by requests. */
 export interface RetryBudget {
-  /** A first attempt was made. */
+  /** Adds the share of one request; called for each first attempt. */
   earn(): void;
-  /** Takes one retry; false when none is left. */
+  /** Takes one retry from the budget; false if it is empty. */
   take(): boolean;
 }
 
 const defaultRatio = 0.1;
-const defaultMost = 10;
+const defaultMax = 10;
 
-/** Creates a budget that is full. */
+/** Creates a full budget. */
 export function createRetryBudget(
   options: RetryBudgetOptions = {},
 ): RetryBudget {
   const ratio = options.ratio ?? defaultRatio;
-  const most = options.most ?? defaultMost;
-  let saved = most;
+  const max = options.most ?? defaultMax;
+  let available = max;
 
   return {
     earn: () => {
-      saved = Math.min(most, saved + ratio);
+      available = Math.min(max, available + ratio);
     },
     take: () => {
-      if (saved < 1) return false;
-      saved -= 1;
+      if (available < 1) return false;
+      available -= 1;
       return true;
     },
   };
--- a/src/request/decisions/retry.test.ts
+++ b/src/request/decisions/retry.test.ts
@@ -19,37 +19,37 @@
   };
 }
 
-test('work that was not run is sent elsewhere', t => {
+test('a request that was not run is retried', t => {
   t.true(shouldRetry(refused()));
 });
 
-test('work that may have begun is sent again only when it is idempotent', t => {
+test('a request that may have run is retried only if it is idempotent', t => {
   const code = requestCodes.upstreamLost;
   t.false(shouldRetry(refused({code})));
   t.true(shouldRetry(refused({code, policy: policyOf()})));
 });
 
-test('nothing is sent again past its time, its attempts or its body', t => {
+test('a request without time, attempts or a replayable body is not retried', t => {
   t.false(shouldRetry(refused({left: 0})));
   t.false(shouldRetry(refused({attempts: 3})));
   t.false(shouldRetry(refused({replayable: false})));
 });
 
-test('work under which two instances broke off goes to no third one', t => {
+test('a request that lost its connection to two instances is not sent to a third', t => {
   const attempt = {code: requestCodes.upstreamLost, policy: policyOf()};
   t.true(shouldRetry(refused({...attempt, losses: 1})));
   t.false(shouldRetry(refused({...attempt, attempts: 2, losses: 2})));
 });
 
-test('refusals that would be the same elsewhere are final', t => {
+test('refusals that every instance would give are final', t => {
   t.false(shouldRetry(refused({code: requestCodes.bodyTooLarge})));
   t.false(shouldRetry(refused({code: requestCodes.deadlinePassed})));
 });
 
 for (const ratio of [Infinity, 0.1]) {
-  test(`retries while every attempt is refused, each request earning ${ratio}`, t => {
-    // All instances are full. Unless retries draw on a budget, each request is
-    // tried three times and the overload is tripled.
+  test(`retries while every attempt is refused, with a budget ratio of ${ratio}`, t => {
+    // All instances are full. Without a retry budget each request is sent three
+    // times, which triples the overload.
     const budget = createRetryBudget({ratio, most: ratio * 100});
     let retries = 0;
     for (let request = 0; request < 1000; request++) {
@@ -65,21 +65,21 @@
   });
 }
 
-test('leaving an instance that drains does not draw on the budget', t => {
+test('a retry after a drain does not use the budget', t => {
   const budget = createRetryBudget({most: 0});
   const empty = {budget, moves: budget};
   t.true(shouldRetry(refused({code: requestCodes.draining, ...empty})));
   t.false(shouldRetry(refused({code: requestCodes.full, ...empty})));
 });
 
-test('a move from a crowded gate is no second attempt at an instance', t => {
-  // One gate has no room in time and another has; the operators' bound on second
-  // attempts counts what reaches an instance, and this reaches none.
+test('a move from a gate without capacity does not use the retry budget', t => {
+  // One gate has no capacity before the deadline, another one has. The retry limit
+  // that operators set counts calls that reach an instance, which a move does not.
   const empty = createRetryBudget({most: 0});
   const code = requestCodes.deadlineUnreachable;
   t.true(shouldRetry(refused({code, budget: empty})));
   t.false(shouldRetry(refused({code, moves: empty})));
-  const reached = requestCodes.upstreamRefused;
-  t.true(shouldRetry(refused({code: reached, moves: empty})));
-  t.false(shouldRetry(refused({code: reached, budget: empty})));
+  const refusedByInstance = requestCodes.upstreamRefused;
+  t.true(shouldRetry(refused({code: refusedByInstance, moves: empty})));
+  t.false(shouldRetry(refused({code: refusedByInstance, budget: empty})));
 });
--- a/src/request/decisions/slow-start.ts
+++ b/src/request/decisions/slow-start.ts
@@ -1,14 +1,14 @@
-/** The share that a new instance gets while it warms. */
+/** Slow start: a new instance gets a growing share of the requests. */
 
-/** Share of a new instance at its start. */
-const least = 0.1;
+/** Weight of an instance that has just started. */
+const minWeight = 0.1;
 
 /**
- * The weight of an instance, from `least` to 1, that began to warm `age`
- * milliseconds ago. A cold instance given a full share answers late, and its
- * callers' deadlines pass.
+ * Returns the weight of an instance, from `minWeight` to 1, that started to warm
+ * up `age` milliseconds ago. With its full share, a cold instance would answer
+ * after its callers' deadlines.
  */
 export function slowStartWeight(age: number, slowStart: number): number {
   if (slowStart <= 0 || age >= slowStart) return 1;
-  return Math.max(least, age / slowStart);
+  return Math.max(minWeight, age / slowStart);
 }
--- a/src/request/decisions/time-limits.test.ts
+++ b/src/request/decisions/time-limits.test.ts
@@ -18,54 +18,55 @@
   return {limit};
 }
 
-test('the shorter of the caller’s time and the policy’s is the deadline', t => {
+test('the deadline is the shorter of the caller’s timeout and the policy’s deadline', t => {
   const {limit} = stage();
   t.is(limit(400).deadline, 1_400);
   t.is(limit(90_000).deadline, 6_000);
   t.is(limit().deadline, 6_000);
 });
 
-test('a good answer leaves some of the objective for its way back', t => {
+test('part of the objective is reserved for the network', t => {
   const {limit} = stage();
   t.is(limit().goodUntil, 1_090);
 });
 
-test('a caller that comes back has less of the objective left', t => {
+test('a retrying caller has less of the objective left', t => {
   const {limit} = stage();
   for (let count = 0; count < 20; count++) limit(400);
   t.is(limit(400).goodUntil, 1_090);
   t.is(limit(350).goodUntil, 1_040);
 });
 
-test('a call with inherited time is good until its deadline', t => {
-  // It is made for another request, whose work is lost when it is refused.
+test('a call with an inherited timeout is only held to its deadline', t => {
+  // It is part of another request, whose work is wasted if the call is refused.
   const {limit} = stage();
   for (let count = 0; count < 50; count++) limit(20 + ((count * 37) % 230));
   t.is(limit(200).goodUntil, 1_200);
 });
 
-test('callers that vary their time a little have the objective all the same', t => {
-  // Each caller waits a little less long than the route allows. Taken for calls
-  // with inherited time, they would all be good until their deadline; with every
-  // slot in use each would wait behind others that are late like itself.
+test('callers whose timeouts vary slightly are held to the objective', t => {
+  // The callers' timeouts are slightly shorter than the route's. If they counted
+  // as calls with an inherited timeout, they would only be held to their deadline,
+  // and with every slot in use each would queue behind others that are late too.
   const {limit} = stage();
   for (let count = 0; count < 50; count++) limit(680 + ((count * 37) % 120));
   t.is(limit(700).goodUntil, 1_090);
 });
 
-// Archives are asked for seldom, so little is known of their callers: accepted
-// until their deadline, they fill the link and are late one after the other.
-test('a large answer is good for the objective, whoever asks for it', t => {
+// Large answers are requested rarely, so little is known about their callers. If
+// they were accepted until their deadline, they would fill the link and be late.
+test('a large answer is held to the objective for every caller', t => {
   const {limit} = stage();
   t.is(limit(700).goodUntil, 1_700);
   t.is(limit(700, 'large').goodUntil, 1_090);
 });
 
-// Refused archives come back with less of their time, and would be let in as new.
-test('one of the first callers of large answers that comes back is known', t => {
+// Refused requests for large answers are retried with the remaining time, and
+// would be admitted like new ones.
+test('a retrying caller of large answers is detected after few requests', t => {
   const {limit} = stage();
   for (const timeout of [780, 700, 740]) limit(timeout, 'large');
   const {goodUntil} = limit(640, 'large');
-  t.is(goodUntil, 1_090, 'within what callers vary');
+  t.is(goodUntil, 1_090, 'within the variation of the callers');
   t.true(limit(550, 'large').goodUntil < 1_000);
 });
--- a/src/request/decisions/time-limits.ts
+++ b/src/request/decisions/time-limits.ts
@@ -1,4 +1,4 @@
-/** How long a request may take, and until when its answer counts as good. */
+/** Determines the deadline of a request and until when it meets its objective. */
 import type {Route} from '../../configuration/configuration.js';
 import type {Timers} from '../../time/timers.js';
 import type {CallerOptions} from '../messages/call.js';
@@ -6,63 +6,64 @@
 import type {RouteMatch} from './router.js';
 import {createTypicalTimeouts} from './typical-timeouts.js';
 
-/** The limits of one request, by the timer service. */
+/** Limits of one request, as times of the timer service. */
 export interface TimeLimits {
-  /** When its time is up. */
   readonly deadline: number;
-  /** Until when an answer sent counts as good at the caller. */
+  /** Until when an answer must be sent to meet the objective at the caller. */
   readonly goodUntil: number;
 }
 
-/** Works out the limits of requests. */
+/** Determines the limits of requests. */
 export interface TimeLimiter {
-  /** The limits of a request that has just come, by the size of its answer. */
-  limit(terms: CallerOptions, match: RouteMatch, size?: CallSize): TimeLimits;
-  /** A request of the route was refused or failed. */
+  /** The limits of a request that has just arrived; `size` is that of its answer. */
+  limit(
+    callerOptions: CallerOptions, match: RouteMatch, size?: CallSize): TimeLimits;
+  /** Records that a request of the route was refused or failed. */
   failed(route: Route): void;
 }
 
 /**
- * Milliseconds of the objective that are kept for the request's way to the
- * entry and the answer's way back: a region's network and two hops.
+ * Milliseconds of the objective that are reserved for the network between caller
+ * and entry, in both directions: the network of a region and two hops.
  */
-const wayBack = 10;
+const networkAllowance = 10;
 
-/** Creates the limiter of one entry; it learns from its callers. */
+/** Creates the limiter of one entry; it learns the timeouts of its callers. */
 export function createTimeLimiter(timers: Timers): TimeLimiter {
-  const usualTimeouts = createTypicalTimeouts();
+  const typicalTimeouts = createTypicalTimeouts();
 
   /**
-   * Milliseconds in which an answer is good. A call that an upstream makes for
-   * another request inherits that one's time: refused since it would be late,
-   * it takes the work already done with it. A large answer that comes late also
-   * makes others late on the link, so it is judged by what little is known.
+   * Milliseconds in which an answer meets the objective. An upstream's call on
+   * behalf of another request inherits the remaining time of that request. It is
+   * not held to the objective, since refusing it would waste the work already
+   * done. A late large answer delays others on the link, so it is held to an
+   * estimate even if little is known about the callers.
    */
-  function goodFor(
+  function objectiveTime(
     {timeout}: CallerOptions,
     {route, policy}: RouteMatch,
     size: CallSize,
   ): number {
-    const good = policy.objective.latency - wayBack;
-    if (timeout === undefined) return good;
-    const longest = Math.min(timeout, policy.deadline);
-    const waited = usualTimeouts.waited(route, longest);
-    if (waited !== undefined) return good - waited;
+    const objective = policy.objective.latency - networkAllowance;
+    if (timeout === undefined) return objective;
+    const effective = Math.min(timeout, policy.deadline);
+    const waited = typicalTimeouts.waited(route, effective);
+    if (waited !== undefined) return objective - waited;
     if (size === 'small') return Infinity;
-    return good - usualTimeouts.estimateWaited(route, longest);
+    return objective - typicalTimeouts.estimateWaited(route, effective);
   }
 
   function limit(
-    terms: CallerOptions,
+    callerOptions: CallerOptions,
     match: RouteMatch,
     size: CallSize = 'small',
   ): TimeLimits {
     const now = timers.now();
-    const {deadline: longest} = match.policy;
-    const deadline = now + Math.min(terms.timeout ?? Infinity, longest);
-    const goodUntil = Math.min(deadline, now + goodFor(terms, match, size));
+    const {deadline: maxTimeout} = match.policy;
+    const deadline = now + Math.min(callerOptions.timeout ?? Infinity, maxTimeout);
+    const goodUntil = Math.min(deadline, now + objectiveTime(callerOptions, match, size));
     return {deadline, goodUntil};
   }
 
-  return {limit, failed: usualTimeouts.failed};
+  return {limit, failed: typicalTimeouts.failed};
 }
