--- a/src/request/decisions/attempt-answer.test.ts
+++ b/src/request/decisions/attempt-answer.test.ts
@@ -6,8 +6,8 @@
 import {createRefusal} from '../messages/refusal.js';
 
 function stage(isHurried: boolean) {
-  const judged: string[] = [];
-  const peer = {
+  const results: string[] = [];
+  const target = {
     announcement: announcementOf(),
     logFields: () => ({
       outstanding: 0,
@@ -20,32 +20,32 @@
     began: () => {},
     updateLoad: () => {},
     ended: (code: {name: string} | undefined, status: number) =>
-      void judged.push(`${code?.name} ${status}`),
+      void results.push(`${code?.name} ${status}`),
   };
   const attempt = createAttemptAnswer(
     createFakeAnswer(),
-    peer,
+    target,
     () => {},
     isHurried,
   );
-  return {attempt, judged};
+  return {attempt, results};
 }
 
 for (const isHurried of [false, true]) {
-  test(`a deadline that passed, caller in a hurry: ${isHurried}`, t => {
-    // One caller asks for a millisecond again and again. Held against the
-    // instances, its deadlines would have them ejected for all callers.
-    const {attempt, judged} = stage(isHurried);
+  test(`an expired deadline, set short by the caller: ${isHurried}`, t => {
+    // One caller repeatedly sends a timeout of a millisecond. If its deadlines
+    // counted as failures, the instances would be ejected for all callers.
+    const {attempt, results} = stage(isHurried);
     attempt.refuse(createRefusal(requestCodes.deadlinePassed));
-    t.deepEqual(judged, [isHurried ? 'caller-left 0' : 'deadline-passed 0']);
+    t.deepEqual(results, [isHurried ? 'caller-left 0' : 'deadline-passed 0']);
   });
 }
 
-test('an attempt is judged once, also when its caller leaves', t => {
-  const {attempt, judged} = stage(false);
+test('the result of an attempt is reported once, even if its caller disconnects', t => {
+  const {attempt, results} = stage(false);
   attempt.start({status: 200, reason: 'OK', headers: []});
   attempt.abandon();
   attempt.end();
   attempt.cut();
-  t.deepEqual(judged, ['caller-left 200']);
+  t.deepEqual(results, ['caller-left 200']);
 });
--- a/src/request/decisions/attempt-answer.ts
+++ b/src/request/decisions/attempt-answer.ts
@@ -4,34 +4,34 @@
 import type {PooledInstance} from './instance-pool.js';
 import type {Code} from '../../result/code.js';
 
-/** The answer to one attempt; tells its peer once how the attempt went. */
+/** The answer to one attempt; reports the result to the instance pool once. */
 export abstract class AttemptAnswer extends Answer {
-  /** The caller has left; what still comes is of no interest. */
+  /** The caller has disconnected; the rest of the answer is ignored. */
   abstract abandon(): void;
 }
 
 /**
- * Passes an answer on; a refusal goes to `refused` instead. A deadline that a
- * caller in a hurry set is not held against the peer: one caller could have
- * every instance ejected by asking for a millisecond. `sized` hears of the bytes
- * of a whole answer.
+ * Forwards the answer of an attempt, but passes a refusal to `onRefused`. An
+ * expired deadline does not count against the instance if the caller set a short
+ * one (`isHurried`): otherwise one caller could have every instance ejected with
+ * timeouts of a millisecond. `onSize` receives the bytes of a complete answer.
  */
 export function createAttemptAnswer(
   answer: Answer,
-  peer: PooledInstance,
-  refused: (reason: Refusal) => void,
+  target: PooledInstance,
+  onRefused: (reason: Refusal) => void,
   isHurried: boolean,
-  sized: (bytes: number) => void = () => {},
+  onSize: (bytes: number) => void = () => {},
 ): AttemptAnswer {
   let status = 0;
-  let settled = false;
+  let isReported = false;
   let bytes = 0;
 
-  function settle(code: Code | undefined): boolean {
-    if (settled) return false;
-    settled = true;
-    const excused = isHurried && code === requestCodes.deadlinePassed;
-    peer.ended(excused ? requestCodes.callerLeft : code, status);
+  function report(code: Code | undefined): boolean {
+    if (isReported) return false;
+    isReported = true;
+    const isExcused = isHurried && code === requestCodes.deadlinePassed;
+    target.ended(isExcused ? requestCodes.callerLeft : code, status);
     return true;
   }
 
@@ -47,16 +47,16 @@
     },
     onDrain: resume => answer.onDrain(resume),
     end: () => {
-      if (!settle(undefined)) return;
-      sized(bytes);
+      if (!report(undefined)) return;
+      onSize(bytes);
       answer.end();
     },
     refuse: reason => {
-      if (settle(reason.code)) refused(reason);
+      if (report(reason.code)) onRefused(reason);
     },
     cut: () => {
-      if (settle(requestCodes.upstreamLost)) answer.cut();
+      if (report(requestCodes.upstreamLost)) answer.cut();
     },
-    abandon: () => void settle(requestCodes.callerLeft),
+    abandon: () => void report(requestCodes.callerLeft),
   };
 }
--- a/src/request/decisions/attempts.test.ts
+++ b/src/request/decisions/attempts.test.ts
@@ -10,11 +10,11 @@
 
 for (const {framedLinks, isGuarded: internalHeaders} of hopCases) {
   test(`a chain ${depth} deep whose bottom refuses, internal headers dropped: ${internalHeaders}, framed links: ${framedLinks}`, async t => {
-    // Each upstream calls the next through its own entry and passes on what it
-    // got, headers and all. If an entry took a refusal from further down for
-    // its own gate's, every level would try again and the bottom would see
-    // two to the power of eleven attempts. Three deep are enough to show it. On
-    // framed links a refusal is no header, and can't be forged.
+    // Each upstream calls the next one through its entry and passes on the answer
+    // with all headers. If an entry mistook a refusal from a lower level for one by
+    // its own gate, every level would retry, and the lowest one would receive
+    // 2^11 attempts. Three levels are enough to show this. On framed links a
+    // refusal is not a header and can't be forged.
     const isSafe = internalHeaders || framedLinks;
     const levels = isSafe ? depth : 3;
     let attempts = 0;
@@ -54,10 +54,10 @@
   });
 }
 
-test('a chain 11 deep whose bottom gate is full makes three attempts, not three to the eleventh', async t => {
-  // The lowest entry alone stands next to the refusal, and it alone tries
-  // again; its caller gets a final refusal, which its own entry passes up.
-  let tried = 0;
+test('in a chain 11 deep, entries don’t retry a refusal by the lowest entry', async t => {
+  // Only an entry that receives a refusal from its own gate retries. If every level
+  // made three attempts, the lowest entry would receive three to the eleventh.
+  let lowestCalls = 0;
   const meshes: Mesh[] = [];
   const lowest = await createMesh({
     upstreams: [1, 2, 3, 4].map(() => () => {}),
@@ -71,7 +71,7 @@
     const below = next;
     const mesh = await createMesh({
       upstreams: [1, 2].map(() => async (_req, res) => {
-        if (below === lowest.url) tried++;
+        if (below === lowest.url) lowestCalls++;
         const answer = await request(`${below}/stock/7`);
         res.writeHead(answer.statusCode);
         res.end(await answer.body.text());
@@ -83,21 +83,21 @@
   const answer = await request(`${next}/stock/7`);
   t.is(answer.statusCode, 503);
   await answer.body.dump();
-  t.is(tried, 1);
+  t.is(lowestCalls, 1);
   for (const mesh of meshes) await mesh.close();
 });
 
 for (const once of [false, true]) {
-  test(`a booking whose upstream breaks off, sent again only if idempotent: ${once}`, async t => {
-    // The upstream books and its connection breaks before the answer. Sent
-    // again to the next instance, the booking lands twice.
+  test(`a booking whose upstream closes the connection, retried only if idempotent: ${once}`, async t => {
+    // The upstream books and closes its connection before the answer. A retry at
+    // the next instance would book a second time.
     let booked = 0;
-    const breaksOff = (_req: unknown, res: {destroy(): void}) => {
+    const closeConnection = (_req: unknown, res: {destroy(): void}) => {
       booked++;
       res.destroy();
     };
     const mesh = await createMesh({
-      upstreams: [breaksOff, breaksOff, breaksOff],
+      upstreams: [closeConnection, closeConnection, closeConnection],
       entry: {safeguards: {once}},
     });
     const answer = await request(`${mesh.url}/bookings`, {
@@ -111,7 +111,7 @@
   });
 }
 
-test('a lookup whose upstream breaks off is answered by another', async t => {
+test('a lookup whose upstream closes the connection is answered by another', async t => {
   const mesh = await createMesh({
     upstreams: [
       (_req, res) => void res.destroy(),
@@ -127,13 +127,13 @@
 
 for (const heldUploads of [false, true]) {
   test(`a large upload refused by one gate goes to the next, upload held: ${heldUploads}`, async t => {
-    // The first gate drains, the entry does not know yet. Unless the upload
-    // waits for its admission, its parts are gone when the refusal comes, and
-    // the fitter must send the scan again though another instance was free.
+    // The first gate drains, which the entry has not learned yet. Unless the upload
+    // waits for its admission, its first bytes have been sent when the refusal
+    // arrives, and the caller must resend it although another instance was free.
     let stored = 0;
     const mesh = await createMesh({
       upstreams: [1, 2].map(() => async (req, res) => {
-        for await (const part of req) stored += part.length;
+        for await (const chunk of req) stored += chunk.length;
         res.end();
       }),
       entry: {
@@ -156,7 +156,7 @@
   });
 }
 
-test('an operator’s drain and an announced one keep new work away at the entry', async t => {
+test('an entry sends no calls to an instance that announced a drain', async t => {
   const counts = [0, 0];
   const mesh = await createMesh({
     upstreams: [0, 1].map(index => (_req, res) => {
@@ -176,12 +176,14 @@
   await mesh.close();
 });
 
-test('a lookup that may have run at one instance is not told as not run by the next', async t => {
-  const breaksOff: RequestListener = (_req, res) => {
+test('a refusal is not final as not-run if an earlier attempt may have run', async t => {
+  const closeConnection: RequestListener = (_req, res) => {
     for (const {gate} of mesh.members) gate.drain();
     res.destroy();
   };
-  const mesh: Mesh = await createMesh({upstreams: [breaksOff, breaksOff]});
+  const mesh: Mesh = await createMesh({
+    upstreams: [closeConnection, closeConnection],
+  });
   const answer = await request(`${mesh.url}/stock/7`);
   await answer.body.dump();
   t.is(answer.headers['foxbarrow-effect'], 'unknown');
--- a/src/request/decisions/crash-detector.ts
+++ b/src/request/decisions/crash-detector.ts
@@ -6,7 +6,7 @@
 import type {Timers} from '../../time/timers.js';
 import type {Call} from '../messages/call.js';
 
-/** Options of `createCrashWatch`. */
+/** Options of `createCrashDetector`. */
 export interface CrashDetectorOptions {
   readonly timers: Timers;
   /** Whether a process listens at the upstream's address; must not reject. */
@@ -25,7 +25,9 @@
 const collectionTime = 50;
 
 /** Creates the detector; it reports at most one crash. */
-export function createCrashDetector(options: CrashDetectorOptions): CrashDetector {
+export function createCrashDetector(
+  options: CrashDetectorOptions,
+): CrashDetector {
   const {timers, isListening, onCrash} = options;
   let lostCalls: Call[] = [];
   let hasCrashed = false;
@@ -46,7 +48,8 @@
     lost: call => {
       if (hasCrashed) return;
       lostCalls.push(call);
-      if (lostCalls.length === 1) timers.after(collectionTime, () => void check());
+      if (lostCalls.length === 1)
+        timers.after(collectionTime, () => void check());
     },
   };
 }
--- a/src/request/decisions/egress-reservations.test.ts
+++ b/src/request/decisions/egress-reservations.test.ts
@@ -30,7 +30,8 @@
 
 test('large answers reserve no more than can be sent in time', t => {
   const {reservations, request} = stage();
-  for (let call = 0; call < 4; call++) t.is(request('archive').reason, undefined);
+  for (let call = 0; call < 4; call++)
+    t.is(request('archive').reason, undefined);
   const {reason} = request('archive');
   t.is(reason?.code.name, 'deadline-unreachable');
   t.is(reason?.code.effect, 'not-run');
@@ -55,7 +56,8 @@
   first.end();
   first.end();
   t.true(reservations.load < full);
-  for (let call = 0; call < 4; call++) t.is(request('archive').reason, undefined);
+  for (let call = 0; call < 4; call++)
+    t.is(request('archive').reason, undefined);
 });
 
 test('bytes that arrived are counted once, in the egress queue', t => {
--- a/src/request/decisions/ejection.ts
+++ b/src/request/decisions/ejection.ts
@@ -43,7 +43,12 @@
   until: number;
 }
 
-const defaults = {failures: 5, duration: 5_000, maxDuration: 60_000, maxShare: 0.5};
+const defaults = {
+  failures: 5,
+  duration: 5_000,
+  maxDuration: 60_000,
+  maxShare: 0.5,
+};
 
 /** Creates an ejection without records. */
 export function createEjection(options: EjectionOptions): Ejection {
@@ -71,7 +76,9 @@
     const candidates = instances.filter(isOut);
     const maxCount = Math.floor(instances.length * limits.maxShare);
     return candidates
-      .sort((left, right) => records.get(right)!.until - records.get(left)!.until)
+      .sort(
+        (left, right) => records.get(right)!.until - records.get(left)!.until,
+      )
       .slice(0, maxCount);
   }
 
--- a/src/request/decisions/instance-pool.test.ts
+++ b/src/request/decisions/instance-pool.test.ts
@@ -7,13 +7,20 @@
 import {configurationOf, stockConfiguration} from '../fakes/configurations.js';
 import {announcementOf, createFakeEndpoints} from '../fakes/fake-endpoints.js';
 import {createInstancePool} from './instance-pool.js';
-import type {CallSize, PooledInstance, InstancePoolOptions} from './instance-pool.js';
+import type {
+  CallSize,
+  PooledInstance,
+  InstancePoolOptions,
+} from './instance-pool.js';
 
-function stage(names: readonly string[], changes: Partial<InstancePoolOptions> = {}) {
+function stage(
+  names: readonly string[],
+  changes: Partial<InstancePoolOptions> = {},
+) {
   const timers = createFakeTimers(1_000_000);
   const endpoints = createFakeEndpoints();
   for (const instance of names) endpoints.put(announcementOf({instance}));
-  const peers = createInstancePool({
+  const pool = createInstancePool({
     failureDomain: 'rusayl-a',
     endpoints,
     balancer: createPowerOfTwoBalancer(createRandom(3)),
@@ -26,24 +33,26 @@
     tried: string[] = [],
     size: CallSize = 'small',
   ) {
-    return peers.choose('stock-desk', configuration, new Set(tried), size);
+    return pool.choose('stock-desk', configuration, new Set(tried), size);
   }
-  /** How often each is chosen in a hundred calls that are answered at once. */
-  function shares(answer = (peer: PooledInstance) => peer.ended(undefined, 200)) {
+  /** Counts the choices of each instance in 100 calls that are answered immediately. */
+  function shares(
+    answer = (target: PooledInstance) => target.ended(undefined, 200),
+  ) {
     const counts: Record<string, number> = {};
     for (let call = 0; call < 100; call++) {
-      const peer = choose()!;
-      const {instance} = peer.announcement;
+      const target = choose()!;
+      const {instance} = target.announcement;
       counts[instance] = (counts[instance] ?? 0) + 1;
-      peer.began();
-      answer(peer);
+      target.began();
+      answer(target);
     }
     return counts;
   }
   return {timers, endpoints, choose, shares};
 }
 
-test('an instance that drains, is drained or is gone gets nothing', t => {
+test('an instance that drains, is drained or is gone gets no calls', t => {
   const {endpoints, choose} = stage(['a', 'b', 'c']);
   endpoints.put(announcementOf({instance: 'a', state: 'draining'}));
   endpoints.remove('stock-desk', 'b');
@@ -52,61 +61,61 @@
   t.is(choose(configurationOf({drains})), undefined);
 });
 
-test('an instance that refused as leaving is passed by until its word comes', t => {
+test('an instance that refused a call as draining gets no calls for a while', t => {
   const {timers, choose, shares} = stage(['a', 'b']);
-  const peer = choose(stockConfiguration, ['b'])!;
-  peer.began();
-  peer.ended(requestCodes.draining, 0);
+  const target = choose(stockConfiguration, ['b'])!;
+  target.began();
+  target.ended(requestCodes.draining, 0);
   t.deepEqual(shares(), {b: 100});
   timers.advance(2_000);
   t.true(shares()['a']! > 0);
 });
 
-test('a new life of an instance does not answer for its last one', t => {
+test('failures of its previous life do not count against an instance', t => {
   const {endpoints, choose, shares} = stage(['a', 'b']);
-  const peer = choose(stockConfiguration, ['b'])!;
-  peer.began();
-  peer.ended(requestCodes.stopping, 0);
+  const target = choose(stockConfiguration, ['b'])!;
+  target.began();
+  target.ended(requestCodes.stopping, 0);
   endpoints.put(announcementOf({instance: 'a', incarnation: 2}));
   t.true(shares()['a']! > 0);
 });
 
-test('an instance that fails at once draws no work by looking idle', t => {
-  // Its health answers are good and its failures quick, so it has the least
-  // work of all. Each entry sends too little to it to eject it soon.
+test('an instance that fails quickly does not attract calls', t => {
+  // The instance reports good health and fails quickly, so it has the fewest open
+  // calls. Each entry sends it too few calls to eject it soon.
   const {shares, choose} = stage(['a', 'b', 'c'], {
     ejection: {failures: 1_000},
   });
   const {announcement} = choose(stockConfiguration, ['b', 'c'])!;
   t.is(announcement.instance, 'a');
-  const counts = shares(peer => {
-    const fails = peer.announcement.instance === 'a';
-    peer.ended(undefined, fails ? 500 : 200);
+  const counts = shares(target => {
+    const fails = target.announcement.instance === 'a';
+    target.ended(undefined, fails ? 500 : 200);
   });
   t.true((counts['a'] ?? 0) <= 2, JSON.stringify(counts));
 });
 
-test('an instance that fails in a row is ejected, but never the last one', t => {
+test('an instance is ejected after consecutive failures unless it is the only one', t => {
   const {choose, shares} = stage(['a', 'b']);
-  shares(peer => {
-    const fails = peer.announcement.instance === 'a';
-    peer.ended(fails ? requestCodes.upstreamLost : undefined, 200);
+  shares(target => {
+    const fails = target.announcement.instance === 'a';
+    target.ended(fails ? requestCodes.upstreamLost : undefined, 200);
   });
   const alone = stage(['a']);
-  alone.shares(peer => peer.ended(requestCodes.upstreamLost, 0));
+  alone.shares(target => target.ended(requestCodes.upstreamLost, 0));
   t.is(alone.choose()!.announcement.instance, 'a');
   t.is(choose()!.announcement.instance, 'b');
 });
 
-test('a retry goes to an instance that was not tried, if there is one', t => {
+test('a retry prefers an instance that was not tried', t => {
   const {choose} = stage(['a', 'b']);
   t.is(choose(stockConfiguration, ['a'])!.announcement.instance, 'b');
   t.truthy(choose(stockConfiguration, ['a', 'b']));
 });
 
-// One load for all: lookups leave an instance whose slots are free since its
-// link is full of archives, or archives run on to a link that is full.
-test('a gate that is full for large calls alone still gets the small ones', t => {
+// With a single load for all calls, small calls would avoid an instance with free
+// slots whose link is full, or large calls would be sent to a full link.
+test('a gate that is only full for large calls still gets small ones', t => {
   const {choose, shares} = stage(['a', 'b']);
   const chooseLarge = (tried: string[] = []) =>
     choose(stockConfiguration, tried, 'large')!;
--- a/src/request/decisions/keyed-run.test.ts
+++ b/src/request/decisions/keyed-run.test.ts
@@ -19,13 +19,13 @@
   };
 }
 
-for (const remembers of [false, true]) {
-  test(`a booking sent again with its key, claims kept: ${remembers}`, async t => {
-    // The answer is lost on its way and the storekeeper's client asks again
-    // with the same key. Without the claim the part is booked out twice.
+for (const keepsClaims of [false, true]) {
+  test(`a booking sent again with its key, claims kept: ${keepsClaims}`, async t => {
+    // The answer is lost and the client sends the request again with the same key.
+    // Without the claim the part is booked twice.
     let booked = 0;
     const mesh = await createMesh({
-      claims: createFakeClaims(remembers),
+      claims: createFakeClaims(keepsClaims),
       upstreams: [
         (_req, res) => {
           res.setHeader('x-booking', String(++booked));
@@ -35,14 +35,14 @@
     });
     const first = await book(mesh);
     const again = await book(mesh);
-    t.is(booked, remembers ? 1 : 2);
-    t.is(again.text, remembers ? first.text : 'booking 2');
-    t.is(again.booking, remembers ? '1' : '2');
+    t.is(booked, keepsClaims ? 1 : 2);
+    t.is(again.text, keepsClaims ? first.text : 'booking 2');
+    t.is(again.booking, keepsClaims ? '1' : '2');
     await mesh.close();
   });
 }
 
-test('a booking that was not run leaves its key free', async t => {
+test('a booking that was not run releases its key', async t => {
   let booked = 0;
   const mesh = await createMesh({
     claims: createFakeClaims(),
@@ -61,7 +61,7 @@
   await mesh.close();
 });
 
-test('a booking that may have run keeps its key, and a resend is told so', async t => {
+test('a booking that may have run keeps its key, and a resend is refused as unknown', async t => {
   let booked = 0;
   const mesh = await createMesh({
     claims: createFakeClaims(),
@@ -73,7 +73,7 @@
   await mesh.close();
 });
 
-test('keyed work goes on when its caller leaves, and a resend finds its answer', async t => {
+test('a call with a key continues without its caller, and a resend gets its answer', async t => {
   let finish: (() => void) | undefined;
   let booked = 0;
   const mesh = await createMesh({
@@ -86,12 +86,12 @@
     ],
   });
   const {gate} = mesh.members[0]!;
-  const left = openRaw(
+  const caller = openRaw(
     mesh.entry.address,
     'POST /bookings HTTP/1.1\r\nhost: a\r\nidempotency-key: order-7\r\ncontent-length: 4\r\n\r\nbook',
   );
   while (finish === undefined) await tick();
-  left.destroy();
+  caller.destroy();
   for (let turn = 0; turn < 20; turn++) await tick();
   t.is(gate.running, 1);
   finish();
@@ -101,7 +101,7 @@
   await mesh.close();
 });
 
-test('keyed work without anywhere to claim its key is not run', async t => {
+test('a call with a key is not run if keys can’t be claimed', async t => {
   let booked = 0;
   const mesh = await createMesh({upstreams: [() => booked++]});
   t.is((await book(mesh)).effect, 'not-run');
--- a/src/request/decisions/keyed-run.ts
+++ b/src/request/decisions/keyed-run.ts
@@ -1,7 +1,7 @@
 /**
- * Work with an idempotency key. The key is claimed before the work is offered
- * to the upstream, and the answer is kept for resends. The work then goes on
- * when its caller leaves: a resend is to find its answer.
+ * Runs calls with an idempotency key. The key is claimed before the call is
+ * admitted, and the answer is stored for resends. The call continues after its
+ * caller has disconnected, so that a resend gets its answer.
  */
 import type {
   Acquisition,
@@ -16,33 +16,34 @@
 import type {AnswerHead, Call, Cancel, Refusal} from '../messages/call.js';
 import {createRefusal} from '../messages/refusal.js';
 
-/** Largest answer body, in bytes, that is gathered for resends. */
-const keptLimit = 1024 * 1024;
+/** Maximum size in bytes of an answer body that is stored for resends. */
+const maxStoredSize = 1024 * 1024;
 
 /** Options of `createKeyedRuns`. */
 export interface KeyedRunsOptions {
   readonly claims: Claims | undefined;
-  /** Runs work whose key is claimed. */
+  /** Runs a call whose key has been claimed. */
   readonly run: (call: Call, answer: Answer) => Cancel;
-  /** Work between its arrival and its claim counts as under way. */
+  /** Registers a call as open until its key is claimed. */
   readonly track: (cut: Cancel) => void;
+  /** Removes the registration. */
   readonly untrack: (cut: Cancel) => void;
 }
 
-/** Runs keyed work. */
+/** Runs calls with an idempotency key. */
 export interface KeyedRuns {
   handle(call: Call, answer: Answer): Cancel;
 }
 
-/** Creates the runner of keyed work. */
+/** Creates the runner of calls with an idempotency key. */
 export function createKeyedRuns(options: KeyedRunsOptions): KeyedRuns {
-  function settle(call: Call, answer: Answer, acquired: Acquisition): void {
-    if (acquired.kind === 'answered') return replay(acquired.answer, answer);
-    if (acquired.kind === 'refused') {
-      const {code, message, retryAfter} = acquired;
+  function handleClaim(call: Call, answer: Answer, result: Acquisition): void {
+    if (result.kind === 'answered') return replay(result.answer, answer);
+    if (result.kind === 'refused') {
+      const {code, message, retryAfter} = result;
       return answer.refuse(createRefusal(code, message, retryAfter));
     }
-    options.run(call, createKeptAnswer(answer, acquired.claim));
+    options.run(call, createStoringAnswer(answer, result.claim));
   }
 
   return {
@@ -52,9 +53,9 @@
         answer.refuse(createRefusal(requestCodes.claimsUnavailable));
         return () => {};
       }
-      let left = false;
+      let isCancelled = false;
       const cancel = () => {
-        left = true;
+        isCancelled = true;
       };
       options.track(cancel);
       const request = {
@@ -63,9 +64,9 @@
         fingerprint: fingerprintOf(call),
         deadline: call.deadline,
       };
-      void claims.acquire(request).then(acquired => {
-        if (!left) settle(call, answer, acquired);
-        else if (acquired.kind === 'granted') acquired.claim.release();
+      void claims.acquire(request).then(result => {
+        if (!isCancelled) handleClaim(call, answer, result);
+        else if (result.kind === 'granted') result.claim.release();
         options.untrack(cancel);
       });
       return cancel;
@@ -80,42 +81,42 @@
   answer.end();
 }
 
-/** Passes an answer on and gives it, or what is known, to the claim. */
-function createKeptAnswer(answer: Answer, claim: Claim): Answer {
+/** Forwards an answer and completes, releases or abandons the claim with it. */
+function createStoringAnswer(answer: Answer, claim: Claim): Answer {
   let head: AnswerHead | undefined;
-  let parts: Buffer[] = [];
+  let chunks: Buffer[] = [];
   let size = 0;
 
-  function keep(): void {
-    if (head === undefined || size > keptLimit) return claim.abandon();
+  function store(): void {
+    if (head === undefined || size > maxStoredSize) return claim.abandon();
     const {status} = head;
     claim.complete({
       status,
-      headers: pairs(head.headers),
-      body: Buffer.concat(parts),
+      headers: toHeaders(head.headers),
+      body: Buffer.concat(chunks),
     });
   }
 
   return {
     admit: () => answer.admit(),
-    start: started => {
-      head = started;
-      answer.start(started);
+    start: answerHead => {
+      head = answerHead;
+      answer.start(answerHead);
     },
     write: chunk => {
       size += chunk.length;
-      if (size <= keptLimit) parts.push(chunk);
-      else parts = [];
+      if (size <= maxStoredSize) chunks.push(chunk);
+      else chunks = [];
       return answer.write(chunk);
     },
     onDrain: resume => answer.onDrain(resume),
     end: () => {
-      keep();
+      store();
       answer.end();
     },
     refuse: (reason: Refusal) => {
-      // Only a refusal that says `not-run` frees the key: after any other the
-      // work may have begun, and a free key would let it run twice.
+      // Only a `not-run` refusal releases the key. After any other refusal the call
+      // may have run, and a released key would allow it to run twice.
       if (reason.code.effect === 'not-run') claim.release();
       else claim.abandon();
       answer.refuse(reason);
@@ -127,7 +128,7 @@
   };
 }
 
-function pairs(flat: readonly string[]): Header[] {
+function toHeaders(flat: readonly string[]): Header[] {
   const headers: Header[] = [];
   for (let index = 0; index + 1 < flat.length; index += 2) {
     headers.push({name: flat[index]!, value: flat[index + 1]!});
--- a/src/request/decisions/quarantines.test.ts
+++ b/src/request/decisions/quarantines.test.ts
@@ -6,24 +6,26 @@
 import {createQuarantines} from './quarantines.js';
 import {suspectsOf} from './request-digest.js';
 
-/** The quarantine that a crash under `call` leads to. */
+/** The quarantine that results from a crash during `call`. */
 function quarantineOf(call: Call): Quarantine {
   const [suspect] = suspectsOf([call]);
   return {...suspect!, state: 'held', since: 0, ended: [], trials: 0};
 }
 
-function isFound(held: Call, asked: Call): boolean {
-  const configuration = configurationOf({quarantines: [quarantineOf(held)]});
-  return createQuarantines(() => configuration).find(asked) !== undefined;
+function isFound(quarantined: Call, call: Call): boolean {
+  const configuration = configurationOf({
+    quarantines: [quarantineOf(quarantined)],
+  });
+  return createQuarantines(() => configuration).find(call) !== undefined;
 }
 
-test('a request that comes again is the same under another id, key and deadline', t => {
+test('a resent request is matched despite a different id, key and deadline', t => {
   const booking = bookingOf({key: 'k-1'});
   const again = bookingOf({id: 'entry-2', key: 'k-2', deadline: 9_000});
   t.true(isFound(booking, again));
 });
 
-test('another caller, path, method, host or body makes another request', t => {
+test('a different caller, path, method, host or body is a different request', t => {
   const booking = bookingOf({caller: 'records'});
   const others: Array<Partial<Call>> = [
     {caller: 'drillvault'},
@@ -38,21 +40,21 @@
   }
 });
 
-test('an address in place of a host names a node, and any of them will do', t => {
+test('all IP addresses count as the same host', t => {
   const at = (host: string) => callOf({headers: ['Host', host]});
   t.true(isFound(at('10.0.0.1:80'), at('10.0.0.2:80')));
   t.true(isFound(at('Records.example'), at('records.example:8080')));
   t.false(isFound(at('records.example'), at('10.0.0.1:80')));
 });
 
-test('without a configuration or a quarantine nothing is held', t => {
+test('without a configuration or a quarantine no request is matched', t => {
   t.is(createQuarantines(() => undefined).find(callOf()), undefined);
   const none = createQuarantines(() => stockConfiguration);
   t.is(none.find(callOf()), undefined);
   t.false(none.mayMatch(callOf()));
 });
 
-test('the quarantines of the next configuration count at once', t => {
+test('the quarantines of a new configuration apply immediately', t => {
   let configuration = configurationOf({quarantines: [quarantineOf(callOf())]});
   const quarantines = createQuarantines(() => configuration);
   t.truthy(quarantines.find(callOf()));
--- a/src/request/decisions/quarantines.ts
+++ b/src/request/decisions/quarantines.ts
@@ -1,4 +1,4 @@
-/** Which requests are quarantined, by the configuration in force. */
+/** Matches requests with the quarantines of the configuration in force. */
 import type {
   Configuration,
   Quarantine,
@@ -10,26 +10,26 @@
 
 /** The quarantines in force at a node. */
 export interface Quarantines {
-  /** The one that a request is in; its body must have come, or its first part. */
+  /** The quarantine of a request, whose body or first chunk must have arrived. */
   find(call: Call): Quarantine | undefined;
-  /** Whether the request may be in one, as far as its head tells. */
+  /** Whether a request may be quarantined, judged by its head. */
   mayMatch(call: Call): boolean;
 }
 
-/** Sees the quarantines of the configuration in force; none for a test without. */
+/** Creates the matcher; it finds no quarantine if the safeguard is disabled. */
 export function createQuarantines(
   configuration: () => Configuration | undefined,
-  {quarantine: isOn}: Pick<Safeguards, 'quarantine'> = allSafeguards,
+  {quarantine: isEnabled}: Pick<Safeguards, 'quarantine'> = allSafeguards,
 ): Quarantines {
-  let seen: ReadonlyMap<string, Quarantine> = new Map();
+  let current: ReadonlyMap<string, Quarantine> = new Map();
   let heads: ReadonlySet<string> = new Set();
 
   function inForce(): ReadonlyMap<string, Quarantine> | undefined {
-    const quarantines = isOn ? configuration()?.quarantines : undefined;
-    // Nearly always there is none, and no digest is made.
+    const quarantines = isEnabled ? configuration()?.quarantines : undefined;
+    // Usually there is no quarantine, and no digest is needed.
     if (quarantines === undefined || quarantines.size === 0) return undefined;
-    if (quarantines !== seen) {
-      seen = quarantines;
+    if (quarantines !== current) {
+      current = quarantines;
       heads = new Set([...quarantines.values()].map(({head}) => head));
     }
     return quarantines;
--- a/src/request/decisions/request-digest.ts
+++ b/src/request/decisions/request-digest.ts
@@ -1,7 +1,7 @@
 /**
- * What makes two requests the same: caller, method, host, path and body. The
- * id, the idempotency key and the deadline differ each time one comes again,
- * and where its route leads may have changed.
+ * Digests that identify a request by caller, method, host, path and body. The id,
+ * the idempotency key and the deadline are not included, since they differ when
+ * the request is resent, and neither is the service, since its route may change.
  */
 import {createHash} from 'node:crypto';
 import type {Suspect} from '../../quarantine/messages.js';
@@ -10,44 +10,51 @@
 import type {Upload} from '../messages/upload.js';
 import {bufferLimit} from '../messages/upload.js';
 
-/** Hexadecimal digits of a digest: 128 bits, so that nobody finds another. */
+/** Hexadecimal digits of a digest: 128 bits, so that collisions can't be found. */
 const digits = 32;
 
-/** Digests of heads; entry and gate ask for one several times a call. */
-const heads = new WeakMap<Call, string>();
+/** Cached digests of heads; entry and gate use each one several times. */
+const headDigests = new WeakMap<Call, string>();
 
-/** The digest of all but the body. */
+/** The digest of a request without its body. */
 export function headDigest(call: Call): string {
-  const known = heads.get(call);
-  if (known !== undefined) return known;
+  const cached = headDigests.get(call);
+  if (cached !== undefined) return cached;
   const {caller, method, path} = call;
   const head = digestOf(JSON.stringify([caller, method, hostOf(call), path]));
-  heads.set(call, head);
+  headDigests.set(call, head);
   return head;
 }
 
 /**
- * The digest of a whole request, given that of its head. A large body counts
- * by its first part; undefined while that has not arrived.
+ * The digest of a request, from the digest of its head and its body. Of a large
+ * body only the first part is used; undefined until it has arrived.
  */
 export function requestDigest(head: string, body: Upload): string | undefined {
   const bytes = bytesOf(body);
   return bytes === undefined ? undefined : digestOf(head, bytes);
 }
 
-/** The name of a request in all evidence; undefined where its body can't be told. */
+/**
+ * The name by which a request is reported and quarantined; undefined until enough
+ * of its body has arrived.
+ */
 export function requestName(call: Call): string | undefined {
   return requestDigest(headDigest(call), call.body);
 }
 
-/** Method, host and path, for people; long ones are cut. */
+/** Describes a request by method, host and path for operators. */
 function describeRequest(call: Call): string {
-  return `${call.method} ${hostOf(call)}${call.path}`.slice(0, longestText);
+  return `${call.method} ${hostOf(call)}${call.path}`.slice(
+    0,
+    maxDescriptionLength,
+  );
 }
 
-const longestText = 120;
+/** Longer descriptions are truncated. */
+const maxDescriptionLength = 120;
 
-/** The calls as suspects of a crash; one whose body can't be told is left out. */
+/** Converts calls to suspects of a crash, except for those without a name. */
 export function suspectsOf(calls: readonly Call[]): Suspect[] {
   return calls.flatMap(call => {
     const head = headDigest(call);
--- a/src/request/decisions/request-tracer.ts
+++ b/src/request/decisions/request-tracer.ts
@@ -39,7 +39,7 @@
   begin(request: string): RequestTrace;
 }
 
-/** Options of `createStories`. */
+/** Options of `createRequestTracer`. */
 export interface RequestTracerOptions {
   readonly log: Log;
   readonly timers: Timers;
@@ -68,7 +68,9 @@
 const maxIdLength = 64;
 
 /** Creates the tracer of one component of a process. */
-export function createRequestTracer(options: RequestTracerOptions): RequestTracer {
+export function createRequestTracer(
+  options: RequestTracerOptions,
+): RequestTracer {
   const {log, timers} = options;
   const limits = {...defaults, ...options};
   const {rate, burst} = limits;
--- a/src/request/decisions/time-limits.ts
+++ b/src/request/decisions/time-limits.ts
@@ -17,7 +17,10 @@
 export interface TimeLimiter {
   /** The limits of a request that has just arrived; `size` is that of its answer. */
   limit(
-    callerOptions: CallerOptions, match: RouteMatch, size?: CallSize): TimeLimits;
+    callerOptions: CallerOptions,
+    match: RouteMatch,
+    size?: CallSize,
+  ): TimeLimits;
   /** Records that a request of the route was refused or failed. */
   failed(route: Route): void;
 }
@@ -60,8 +63,12 @@
   ): TimeLimits {
     const now = timers.now();
     const {deadline: maxTimeout} = match.policy;
-    const deadline = now + Math.min(callerOptions.timeout ?? Infinity, maxTimeout);
-    const goodUntil = Math.min(deadline, now + objectiveTime(callerOptions, match, size));
+    const deadline =
+      now + Math.min(callerOptions.timeout ?? Infinity, maxTimeout);
+    const goodUntil = Math.min(
+      deadline,
+      now + objectiveTime(callerOptions, match, size),
+    );
     return {deadline, goodUntil};
   }
 
--- a/src/request/decisions/trials.ts
+++ b/src/request/decisions/trials.ts
@@ -1,17 +1,17 @@
-/** Which quarantined requests one life of an instance may run. */
+/** Decides which quarantined requests one life of an instance may run. */
 import type {Quarantine} from '../../configuration/configuration.js';
 
 /** The trials of one life of an instance. */
 export interface Trials {
   /** Whether a request in this quarantine may start here now. */
   allows(quarantine: Quarantine): boolean;
-  /** One starts; a trial is over with its first start, however it ends. */
+  /** Records a start; a trial may be started once, whatever its result is. */
   began(quarantine: Quarantine): void;
 }
 
-/** Creates the trials of a life; one without a name gets none. */
+/** Creates the trials of a life; no trial is allowed if `life` is undefined. */
 export function createTrials(life: string | undefined): Trials {
-  const begun = new Set<string>();
+  const startedTrials = new Set<string>();
 
   const keyOf = ({name, trials}: Quarantine) => `${name} ${trials}`;
 
@@ -20,8 +20,8 @@
       const {state, trialAt} = quarantine;
       if (state === 'watched') return true;
       if (state === 'held' || life === undefined) return false;
-      return trialAt === life && !begun.has(keyOf(quarantine));
+      return trialAt === life && !startedTrials.has(keyOf(quarantine));
     },
-    began: quarantine => void begun.add(keyOf(quarantine)),
+    began: quarantine => void startedTrials.add(keyOf(quarantine)),
   };
 }
--- a/src/request/decisions/upload-slots.test.ts
+++ b/src/request/decisions/upload-slots.test.ts
@@ -9,7 +9,7 @@
 import type {Ticket} from './admission.js';
 import {uploadSlotsFor, withUploadSlots} from './upload-slots.js';
 
-/** A body whose end the test decides. */
+/** A body that the test ends. */
 function createBody() {
   let observe: (isWhole: boolean) => void = () => {};
   const body = {
@@ -19,12 +19,12 @@
   return {body, end: (isWhole: boolean) => observe(isWhole)};
 }
 
-function stage(places = 2, slots = 6) {
+function stage(uploadSlots = 2, slots = 6) {
   const clock = createFakeTimers();
   const admission = withUploadSlots({
     admission: createAdmission({slots, queueLength: 36, clock}),
     slots,
-    uploadSlots: places,
+    uploadSlots,
     queueLength: 36,
     clock,
   });
@@ -36,7 +36,7 @@
   return {clock, events: tickets.events, admission, offer};
 }
 
-test('uploads beyond the places wait without a slot', t => {
+test('uploads beyond the upload slots wait without an upstream slot', t => {
   const {admission, events, offer} = stage();
   for (const name of ['a', 'b', 'c', 'd']) offer(name, createBody().body);
   offer('lookup');
@@ -46,7 +46,7 @@
 });
 
 for (const isWhole of [true, false]) {
-  test(`a body that has ended gives its place to the next, whole: ${isWhole}`, t => {
+  test(`a body that has ended releases its upload slot, complete: ${isWhole}`, t => {
     const {events, offer} = stage(1);
     const first = createBody();
     offer('a', first.body);
@@ -56,7 +56,7 @@
   });
 }
 
-test('an upload that left its place in the queue does not start', t => {
+test('a withdrawn upload does not start', t => {
   const {admission, events, offer} = stage(1);
   const first = createBody();
   offer('a', first.body);
@@ -67,7 +67,7 @@
   t.deepEqual(events, ['a starts']);
 });
 
-test('a drain refuses the uploads that wait for a place', t => {
+test('a drain refuses the uploads that wait for an upload slot', t => {
   const {admission, events, offer} = stage(1);
   offer('a', createBody().body);
   offer('b', createBody().body);
@@ -75,7 +75,7 @@
   t.deepEqual(events, ['a starts', 'b draining']);
 });
 
-test('an upload whose body can’t come in time is refused at once', t => {
+test('an upload whose body can’t arrive in time is refused immediately', t => {
   const {clock, events, offer} = stage(1);
   const first = createBody();
   offer('a', first.body);
@@ -86,38 +86,38 @@
   t.deepEqual(events.slice(2), ['c deadline-unreachable']);
 });
 
-test('with as many places as slots uploads wait for slots, the first first', t => {
+test('with as many upload slots as slots, uploads start in the order of arrival', t => {
   const {admission, events, offer} = stage(2, 2);
   for (const name of ['a', 'b', 'c', 'd']) offer(name, createBody().body);
   admission.done(10);
   t.deepEqual(events, ['a starts', 'b starts', 'c starts']);
 });
 
-test('a fast link has places for all, a slow one for two at least', t => {
+test('a fast link has many upload slots, a slow one at least two', t => {
   t.is(uploadSlotsFor(94_000_000), 179);
   t.is(uploadSlotsFor(1_600_000), 3);
   t.is(uploadSlotsFor(100_000), 2);
 });
 
 interface Transfer {
-  left: number;
+  remaining: number;
   done(): void;
 }
 
 /**
- * Sixty seconds of uploads for nearly all of a link and of short lookups, at an
- * instance with nine slots. Returns the share of lookups that began within
- * 200 ms, and of uploads that were whole within their deadline of 3 s, and
+ * Simulates sixty seconds of short lookups and of uploads that nearly fill a link,
+ * at an instance with nine slots. Returns the share of lookups that started within
+ * 200 ms, and of uploads that were complete within their deadline of 3 s, and
  * within 1.2 s (good).
  */
-function play(places: number) {
+function simulate(uploadSlots: number) {
   const clock = createFakeTimers();
   const random = createRandom(7);
   const {bytesPerTick, tick} = {bytesPerTick: 9800, tick: 10};
   const admission = withUploadSlots({
     admission: createAdmission({slots: 9, queueLength: 36, clock}),
     slots: 9,
-    uploadSlots: places,
+    uploadSlots,
     queueLength: 36,
     clock,
   });
@@ -151,9 +151,9 @@
       deadline,
       start() {
         const startedAt = clock.now();
-        const left = 560_000 * random.fraction();
+        const remaining = 560_000 * random.fraction();
         link.add({
-          left,
+          remaining,
           done() {
             end(true);
             if (clock.now() <= deadline) count.whole++;
@@ -166,18 +166,18 @@
     });
   }
 
-  function carry(): void {
+  function transmit(): void {
     const share = bytesPerTick / link.size;
     for (const transfer of [...link]) {
-      transfer.left -= share;
-      if (transfer.left > 0) continue;
+      transfer.remaining -= share;
+      if (transfer.remaining > 0) continue;
       link.delete(transfer);
       transfer.done();
     }
   }
 
   clock.every(tick, () => {
-    carry();
+    transmit();
     if (random.fraction() < 0.04) upload();
     if (random.fraction() < 0.2) lookUp();
   });
@@ -189,17 +189,17 @@
   };
 }
 
-// Callers' lookups at the instances that take uploads are late or refused while
-// the instance is idle: bodies share the link, all take seconds, and each holds
-// a slot. Waiting for a place they take turns, and no fewer are whole in time.
-test('lookups find slots beside uploads that fill the link', t => {
-  const shared = play(9);
-  const inTurn = play(3);
-  t.true(inTurn.lookups > 0.97, `lookups ${inTurn.lookups}`);
-  t.true(inTurn.lookups > shared.lookups, `lookups ${shared.lookups} before`);
+// Lookups at instances with uploads were late or refused although the instance was
+// idle: the bodies shared the link, took seconds and occupied all slots. With upload
+// slots, lookups are in time and at least as many uploads are complete in time.
+test('lookups get slots while uploads fill the link', t => {
+  const shared = simulate(9);
+  const limited = simulate(3);
+  t.true(limited.lookups > 0.97, `lookups ${limited.lookups}`);
+  t.true(limited.lookups > shared.lookups, `lookups ${shared.lookups} before`);
   t.true(
-    inTurn.uploads >= shared.uploads,
-    `uploads ${shared.uploads} to ${inTurn.uploads}`,
+    limited.uploads >= shared.uploads,
+    `uploads ${shared.uploads} to ${limited.uploads}`,
   );
-  t.true(inTurn.good > shared.good, `good ${shared.good} to ${inTurn.good}`);
+  t.true(limited.good > shared.good, `good ${shared.good} to ${limited.good}`);
 });
--- a/src/request/decisions/upload-slots.ts
+++ b/src/request/decisions/upload-slots.ts
@@ -1,71 +1,73 @@
 /**
- * How many uploads an upstream's gate takes in at once. A body that shares the
- * link with many others takes seconds and holds its slot all the while, so that
- * lookups find none free, and all uploads are late together. Those beyond the
- * places wait without a slot, or are refused as soon as they can't be in time.
+ * Limits the number of uploads that a gate receives concurrently. If many bodies
+ * share the link, each takes seconds and occupies an upstream slot meanwhile: other
+ * calls find no free slot, and all uploads are late. Uploads without an upload slot
+ * wait without an upstream slot, and are refused as soon as they would be late.
  */
 import type {Clock} from '../../time/clock.js';
 import type {StreamUpload} from '../messages/upload.js';
 import {createAdmission} from './admission.js';
 import type {Admission, Ticket} from './admission.js';
 
-/** Bytes a second that each body gets at least: a photograph in half a second. */
-const leastRate = 512 * 1024;
+/** Minimum bytes per second for each body, enough for a photo in half a second. */
+const minRate = 512 * 1024;
 
-/** Places for bodies that come over a link with `rate` bytes a second for them. */
+/** Upload slots for a link that carries `rate` bytes of bodies per second. */
 export function uploadSlotsFor(rate: number): number {
-  return Math.max(2, Math.floor(rate / leastRate));
+  return Math.max(2, Math.floor(rate / minRate));
 }
 
-/** What `withBodyPlaces` works with. */
+/** Options of `withUploadSlots`. */
 export interface UploadSlotsOptions {
-  /** Admits to the slots of the upstream. */
+  /** Admission to the slots of the upstream. */
   readonly admission: Admission;
+  /** Number of slots of the upstream. */
   readonly slots: number;
+  /** Maximum number of concurrent uploads. */
   readonly uploadSlots: number;
-  /** Uploads that may wait for a place. */
+  /** Maximum number of uploads that wait for an upload slot. */
   readonly queueLength: number;
   readonly clock: Clock;
 }
 
 /**
- * Has uploads wait for a place before they ask for a slot. A link that carries
- * as many bodies as there are slots leaves that to the slots.
+ * Wraps an admission so that uploads get an upload slot before an upstream slot.
+ * Returns the admission unchanged if there are as many upload slots as slots.
  */
 export function withUploadSlots(options: UploadSlotsOptions): Admission {
   const {admission, clock} = options;
   if (options.uploadSlots >= options.slots) return admission;
-  // Callers of uploads wait for seconds. In the order of arrival all of them
-  // would wait that long and be late once the link is full; the last first, as
-  // many as the link carries are in time, and those before them are refused.
-  const places = createAdmission({
+  // Upload timeouts are several seconds long. On a full link in the order of
+  // arrival, all uploads would wait for that time and be late. If the last one is
+  // served first, as many as the link carries are in time and others are refused.
+  const uploads = createAdmission({
     slots: options.uploadSlots,
     queueLength: options.queueLength,
     order: 'lifo',
     clock,
   });
-  /** The tickets that uploads wait with for a place. */
-  const waiting = new Map<Ticket, Ticket>();
+  /** Maps each waiting upload to its ticket for an upload slot. */
+  const uploadTickets = new Map<Ticket, Ticket>();
 
-  function offerBody(ticket: Ticket, body: StreamUpload): void {
-    const place: Ticket = {
+  function offerUpload(ticket: Ticket, body: StreamUpload): void {
+    const uploadTicket: Ticket = {
       ...ticket,
       start() {
-        waiting.delete(ticket);
+        uploadTickets.delete(ticket);
         const startedAt = clock.now();
         body.onEnd(isWhole => {
           const duration = isWhole ? clock.now() - startedAt : undefined;
-          places.done(duration, ticket.kind);
+          uploads.done(duration, ticket.kind);
         });
         admission.offer(ticket);
       },
       refuse(reason) {
-        waiting.delete(ticket);
+        uploadTickets.delete(ticket);
         ticket.refuse(reason);
       },
     };
-    waiting.set(ticket, place);
-    places.offer(place);
+    uploadTickets.set(ticket, uploadTicket);
+    uploads.offer(uploadTicket);
   }
 
   return {
@@ -73,24 +75,24 @@
       return admission.running;
     },
     get waiting() {
-      return admission.waiting + places.waiting;
+      return admission.waiting + uploads.waiting;
     },
     get load() {
-      return Math.max(admission.load, places.load);
+      return Math.max(admission.load, uploads.load);
     },
     offer(ticket) {
       if (ticket.body === undefined) admission.offer(ticket);
-      else offerBody(ticket, ticket.body);
+      else offerUpload(ticket, ticket.body);
     },
     withdraw(ticket) {
-      const place = waiting.get(ticket);
-      if (place === undefined) return admission.withdraw(ticket);
-      waiting.delete(ticket);
-      return places.withdraw(place);
+      const uploadTicket = uploadTickets.get(ticket);
+      if (uploadTicket === undefined) return admission.withdraw(ticket);
+      uploadTickets.delete(ticket);
+      return uploads.withdraw(uploadTicket);
     },
     done: admission.done,
     refuseWaiting(reason) {
-      places.refuseWaiting(reason);
+      uploads.refuseWaiting(reason);
       admission.refuseWaiting(reason);
     },
   };
