--- a/src/request/decisions/attempt-answer.test.ts
+++ b/src/request/decisions/attempt-answer.test.ts
@@ -5,7 +5,7 @@
 import {createFakeAnswer} from '../fakes/fake-answer.js';
 import {createRefusal} from '../messages/refusal.js';
 
-function stage(isHurried: boolean) {
+function setUp(hasShortTimeout: boolean) {
   const results: string[] = [];
   const target = {
     announcement: announcementOf(),
@@ -26,23 +26,23 @@
     createFakeAnswer(),
     target,
     () => {},
-    isHurried,
+    hasShortTimeout,
   );
   return {attempt, results};
 }
 
-for (const isHurried of [false, true]) {
-  test(`an expired deadline, set short by the caller: ${isHurried}`, t => {
+for (const hasShortTimeout of [false, true]) {
+  test(`an expired deadline, timeout set short by the caller: ${hasShortTimeout}`, t => {
     // One caller repeatedly sends a timeout of a millisecond. If its deadlines
     // counted as failures, the instances would be ejected for all callers.
-    const {attempt, results} = stage(isHurried);
+    const {attempt, results} = setUp(hasShortTimeout);
     attempt.refuse(createRefusal(requestCodes.deadlinePassed));
-    t.deepEqual(results, [isHurried ? 'caller-left 0' : 'deadline-passed 0']);
+    t.deepEqual(results, [hasShortTimeout ? 'caller-left 0' : 'deadline-passed 0']);
   });
 }
 
 test('the result of an attempt is reported once, even if its caller disconnects', t => {
-  const {attempt, results} = stage(false);
+  const {attempt, results} = setUp(false);
   attempt.start({status: 200, reason: 'OK', headers: []});
   attempt.abandon();
   attempt.end();
--- a/src/request/decisions/attempt-answer.ts
+++ b/src/request/decisions/attempt-answer.ts
@@ -13,14 +13,14 @@
 /**
  * Forwards the answer of an attempt, but passes a refusal to `onRefused`. An
  * expired deadline does not count against the instance if the caller set a short
- * one (`isHurried`): otherwise one caller could have every instance ejected with
+ * one (`hasShortTimeout`): otherwise one caller could have every instance ejected with
  * timeouts of a millisecond. `onSize` receives the bytes of a complete answer.
  */
 export function createAttemptAnswer(
   answer: Answer,
   target: PooledInstance,
   onRefused: (reason: Refusal) => void,
-  isHurried: boolean,
+  hasShortTimeout: boolean,
   onSize: (bytes: number) => void = () => {},
 ): AttemptAnswer {
   let status = 0;
@@ -30,7 +30,7 @@
   function report(code: Code | undefined): boolean {
     if (isReported) return false;
     isReported = true;
-    const isExcused = isHurried && code === requestCodes.deadlinePassed;
+    const isExcused = hasShortTimeout && code === requestCodes.deadlinePassed;
     target.ended(isExcused ? requestCodes.callerLeft : code, status);
     return true;
   }
--- a/src/request/decisions/crash-detector.test.ts
+++ b/src/request/decisions/crash-detector.test.ts
@@ -4,7 +4,7 @@
 import type {Call} from '../messages/call.js';
 import {createCrashDetector} from './crash-detector.js';
 
-function stage(isListening: () => Promise<boolean>) {
+function setUp(isListening: () => Promise<boolean>) {
   const timers = createFakeTimers();
   const crashes: Array<readonly Call[]> = [];
   const detector = createCrashDetector({
@@ -16,7 +16,7 @@
 }
 
 test('all calls that a crash ended are reported together, once', async t => {
-  const {timers, detector, crashes} = stage(async () => false);
+  const {timers, detector, crashes} = setUp(async () => false);
   detector.lost(callOf({id: 'one'}));
   timers.advance(20);
   detector.lost(callOf({id: 'two'}));
@@ -33,7 +33,7 @@
 
 test('a broken connection to a running upstream is not a crash', async t => {
   let isAlive = true;
-  const {timers, detector, crashes} = stage(async () => isAlive);
+  const {timers, detector, crashes} = setUp(async () => isAlive);
   detector.lost(callOf({id: 'cut'}));
   timers.advance(50);
   await settle();
--- a/src/request/decisions/crash-detector.ts
+++ b/src/request/decisions/crash-detector.ts
@@ -22,7 +22,7 @@
 }
 
 /** Milliseconds within which all connections of a crashed process fail. */
-const collectionTime = 50;
+const crashWindow = 50;
 
 /** Creates the detector; it reports at most one crash. */
 export function createCrashDetector(
@@ -48,8 +48,7 @@
     lost: call => {
       if (hasCrashed) return;
       lostCalls.push(call);
-      if (lostCalls.length === 1)
-        timers.after(collectionTime, () => void check());
+      if (lostCalls.length === 1) timers.after(crashWindow, () => void check());
     },
   };
 }
--- a/src/request/decisions/egress-reservations.test.ts
+++ b/src/request/decisions/egress-reservations.test.ts
@@ -7,7 +7,7 @@
 const rate = 1_000_000;
 const size = 100_000;
 
-function stage() {
+function setUp() {
   const clock = createFakeTimers();
   const link = {waiting: 0};
   const reservations = createEgressReservations({
@@ -18,21 +18,20 @@
   reservations.recordSize('archive', size);
   reservations.recordSize('lookup', 400);
   /** Reserves an answer of a kind with 640 ms to its deadline, unless refused. */
-  function request(kind: string) {
+  function offer(kind: string) {
     const reason = reservations.refusal(kind, clock.now() + 640);
     return {
       reason,
       reservation: reason ? undefined : reservations.reserve(kind),
     };
   }
-  return {clock, link, reservations, request};
+  return {clock, link, reservations, offer};
 }
 
 test('large answers reserve no more than can be sent in time', t => {
-  const {reservations, request} = stage();
-  for (let call = 0; call < 4; call++)
-    t.is(request('archive').reason, undefined);
-  const {reason} = request('archive');
+  const {reservations, offer} = setUp();
+  for (let call = 0; call < 4; call++) t.is(offer('archive').reason, undefined);
+  const {reason} = offer('archive');
   t.is(reason?.code.name, 'deadline-unreachable');
   t.is(reason?.code.effect, 'not-run');
   t.is(reason?.retryAfter, 0.4);
@@ -40,29 +39,28 @@
 });
 
 test('small answers start regardless of queued large ones', t => {
-  const {link, reservations, request} = stage();
+  const {link, reservations, offer} = setUp();
   link.waiting = 10 * size;
-  t.is(request('lookup').reason, undefined);
-  t.is(request('unknown').reason, undefined);
+  t.is(offer('lookup').reason, undefined);
+  t.is(offer('unknown').reason, undefined);
   t.true(reservations.isLarge('archive'));
   t.false(reservations.isLarge('lookup'));
 });
 
 test('an answer that ended, complete or not, releases its reservation', t => {
-  const {reservations, request} = stage();
-  const first = request('archive').reservation!;
+  const {reservations, offer} = setUp();
+  const first = offer('archive').reservation!;
   const full = reservations.load;
   first.arrived(size / 4);
   first.end();
   first.end();
   t.true(reservations.load < full);
-  for (let call = 0; call < 4; call++)
-    t.is(request('archive').reason, undefined);
+  for (let call = 0; call < 4; call++) t.is(offer('archive').reason, undefined);
 });
 
 test('bytes that arrived are counted once, in the egress queue', t => {
-  const {link, reservations, request} = stage();
-  const first = request('archive').reservation!;
+  const {link, reservations, offer} = setUp();
+  const first = offer('archive').reservation!;
   const before = reservations.load;
   first.arrived(size / 2);
   link.waiting = size / 2;
@@ -70,31 +68,31 @@
 });
 
 test('an idle link accepts an answer of any size', t => {
-  const {reservations, request} = stage();
+  const {reservations, offer} = setUp();
   reservations.recordSize('video', 10 * size);
-  t.is(request('video').reason, undefined);
-  t.not(request('video').reason, undefined);
+  t.is(offer('video').reason, undefined);
+  t.not(offer('video').reason, undefined);
 });
 
 // A stream that lasts for minutes would reserve the link for that time, and other
 // large answers would be refused although they are served after one quantum.
 test('an endless answer reserves one quantum', t => {
-  const {reservations, request} = stage();
+  const {reservations, offer} = setUp();
   reservations.recordSize('film', 1000 * size);
-  t.is(request('film').reason, undefined);
-  t.is(request('archive').reason, undefined);
+  t.is(offer('film').reason, undefined);
+  t.is(offer('archive').reason, undefined);
 });
 
 // Sums of fractional means leave a rounding error, which must not count as a
 // reservation.
 test('a link is idle again after answers of fractional sizes', t => {
-  const {reservations, request} = stage();
+  const {reservations, offer} = setUp();
   reservations.recordSize('video', 10 * size);
   for (let round = 1; round <= 30; round++) {
     reservations.recordSize('archive', 60_000 + 1_777 * round);
     reservations.recordSize('report', 20_000 + 777 * round);
     const kinds = ['archive', 'report', 'archive', 'report'];
-    const reserved = kinds.map(kind => request(kind).reservation!);
+    const reserved = kinds.map(kind => offer(kind).reservation!);
     for (const reservation of reserved) reservation.arrived(16_384);
     for (const reservation of reserved) reservation.end();
     t.is(reservations.refusal('video', 500), undefined, `round ${round}`);
@@ -104,7 +102,7 @@
 // A policy whose answers have become small would be refused permanently, since
 // only new answers correct the estimate.
 test('answers that seem to be too large for the link are admitted one at a time', t => {
-  const {clock, link, reservations} = stage();
+  const {clock, link, reservations} = setUp();
   const refusal = () => reservations.refusal('report', clock.now() + 200);
   reservations.recordSize('report', 20 * size);
   link.waiting = 1;
@@ -117,10 +115,10 @@
 });
 
 test('calls past their deadline do not raise the load of the link', t => {
-  const {clock, reservations, request} = stage();
+  const {clock, reservations, offer} = setUp();
   t.is(reservations.refusal('archive', clock.now()), undefined);
   t.true(Number.isFinite(reservations.load));
-  request('archive').reservation!.end();
+  offer('archive').reservation!.end();
   const before = reservations.load;
   for (let call = 0; call < 50; call++) {
     reservations.refusal('archive', clock.now());
@@ -148,7 +146,7 @@
       queued.end();
     }
 
-    function request(): void {
+    function offer(): void {
       const until = timers.now() + 500;
       if (reservations.refusal('archive', until) !== undefined) return;
       const reservation = reservations.reserve('archive');
@@ -160,7 +158,7 @@
     }
 
     timers.every(10, () => answer((share * rate) / 100, () => {}));
-    timers.every(40, request);
+    timers.every(40, offer);
     timers.advance(20_000);
     const capacity = (20 * (1 - share) * rate) / size;
     t.true(counts.inTime > 0.8 * capacity, JSON.stringify(counts));
--- a/src/request/decisions/egress-reservations.ts
+++ b/src/request/decisions/egress-reservations.ts
@@ -20,7 +20,7 @@
 
 /** The reservations on one egress link. */
 export interface EgressReservations {
-  /** Bytes reserved, with one more answer, divided by those sent in time. */
+  /** Reserved and queued bytes, plus one answer, divided by those sent in time. */
   readonly load: number;
   /** Whether answers of a kind are large, by their mean size so far. */
   isLarge(kind: string | undefined): boolean;
@@ -49,7 +49,7 @@
  * Share of the remaining time within which an answer must be sent, by the
  * estimate. The rest allows for answers without a reservation that are sent
  * first (small ones and those to the entry's callers), for sizes above the mean,
- * and for the rest of the route.
+ * and for the remaining path to the caller.
  */
 const sendTimeShare = 0.65;
 
--- a/src/request/decisions/ejection.ts
+++ b/src/request/decisions/ejection.ts
@@ -73,7 +73,7 @@
    * a service without instances.
    */
   function ejected(instances: readonly string[]): string[] {
-    const candidates = instances.filter(isOut);
+    const candidates = instances.filter(isEjected);
     const maxCount = Math.floor(instances.length * limits.maxShare);
     return candidates
       .sort(
@@ -82,13 +82,13 @@
       .slice(0, maxCount);
   }
 
-  function isOut(instance: string): boolean {
+  function isEjected(instance: string): boolean {
     const record = records.get(instance);
     return record !== undefined && record.until > clock.now();
   }
 
   return {
-    isEjected: isOut,
+    isEjected,
     succeeded: instance => {
       const record = records.get(instance);
       if (record === undefined || record.until > clock.now()) return;
--- a/src/request/decisions/instance-pool.test.ts
+++ b/src/request/decisions/instance-pool.test.ts
@@ -13,7 +13,7 @@
   InstancePoolOptions,
 } from './instance-pool.js';
 
-function stage(
+function setUp(
   names: readonly string[],
   changes: Partial<InstancePoolOptions> = {},
 ) {
@@ -53,7 +53,7 @@
 }
 
 test('an instance that drains, is drained or is gone gets no calls', t => {
-  const {endpoints, choose} = stage(['a', 'b', 'c']);
+  const {endpoints, choose} = setUp(['a', 'b', 'c']);
   endpoints.put(announcementOf({instance: 'a', state: 'draining'}));
   endpoints.remove('stock-desk', 'b');
   const drains = [{name: 'c', service: 'stock-desk'}];
@@ -62,7 +62,7 @@
 });
 
 test('an instance that refused a call as draining gets no calls for a while', t => {
-  const {timers, choose, shares} = stage(['a', 'b']);
+  const {timers, choose, shares} = setUp(['a', 'b']);
   const target = choose(stockConfiguration, ['b'])!;
   target.began();
   target.ended(requestCodes.draining, 0);
@@ -72,7 +72,7 @@
 });
 
 test('failures of its previous life do not count against an instance', t => {
-  const {endpoints, choose, shares} = stage(['a', 'b']);
+  const {endpoints, choose, shares} = setUp(['a', 'b']);
   const target = choose(stockConfiguration, ['b'])!;
   target.began();
   target.ended(requestCodes.stopping, 0);
@@ -83,7 +83,7 @@
 test('an instance that fails quickly does not attract calls', t => {
   // The instance reports good health and fails quickly, so it has the fewest open
   // calls. Each entry sends it too few calls to eject it soon.
-  const {shares, choose} = stage(['a', 'b', 'c'], {
+  const {shares, choose} = setUp(['a', 'b', 'c'], {
     ejection: {failures: 1_000},
   });
   const {announcement} = choose(stockConfiguration, ['b', 'c'])!;
@@ -96,19 +96,19 @@
 });
 
 test('an instance is ejected after consecutive failures unless it is the only one', t => {
-  const {choose, shares} = stage(['a', 'b']);
+  const {choose, shares} = setUp(['a', 'b']);
   shares(target => {
     const fails = target.announcement.instance === 'a';
     target.ended(fails ? requestCodes.upstreamLost : undefined, 200);
   });
-  const alone = stage(['a']);
+  const alone = setUp(['a']);
   alone.shares(target => target.ended(requestCodes.upstreamLost, 0));
   t.is(alone.choose()!.announcement.instance, 'a');
   t.is(choose()!.announcement.instance, 'b');
 });
 
 test('a retry prefers an instance that was not tried', t => {
-  const {choose} = stage(['a', 'b']);
+  const {choose} = setUp(['a', 'b']);
   t.is(choose(stockConfiguration, ['a'])!.announcement.instance, 'b');
   t.truthy(choose(stockConfiguration, ['a', 'b']));
 });
@@ -116,7 +116,7 @@
 // With a single load for all calls, small calls would avoid an instance with free
 // slots whose link is full, or large calls would be sent to a full link.
 test('a gate that is only full for large calls still gets small ones', t => {
-  const {choose, shares} = stage(['a', 'b']);
+  const {choose, shares} = setUp(['a', 'b']);
   const chooseLarge = (tried: string[] = []) =>
     choose(stockConfiguration, tried, 'large')!;
   chooseLarge(['b']).updateLoad(3);
--- a/src/request/decisions/request-digest.ts
+++ b/src/request/decisions/request-digest.ts
@@ -1,7 +1,7 @@
 /**
  * Digests that identify a request by caller, method, host, path and body. The id,
  * the idempotency key and the deadline are not included, since they differ when
- * the request is resent, and neither is the service, since its route may change.
+ * the request is resent, and neither is the service, since the route may change.
  */
 import {createHash} from 'node:crypto';
 import type {Suspect} from '../../quarantine/messages.js';
--- a/src/request/decisions/request-tracer.test.ts
+++ b/src/request/decisions/request-tracer.test.ts
@@ -5,7 +5,7 @@
 import type {RequestTracerOptions} from './request-tracer.js';
 
 /** Disables sampling unless `changes` enables it. */
-function stage(changes: Partial<RequestTracerOptions> = {}) {
+function setUp(changes: Partial<RequestTracerOptions> = {}) {
   const {log, lines, messages} = createRecordedLog();
   const timers = createFakeTimers(1_000);
   const sampling = 2 ** 32;
@@ -14,7 +14,7 @@
 }
 
 test('all decisions of a failed request are logged, each line with its id', t => {
-  const {tracer, lines, messages} = stage();
+  const {tracer, lines, messages} = setUp();
   const trace = tracer.begin('r-1');
   trace.record('routed', {route: 'records'});
   trace.record('chosen', {instance: 'crewbook-1', load: 0.5});
@@ -24,17 +24,17 @@
 });
 
 test('a successful request is not logged unless it is sampled', t => {
-  const quiet = stage();
+  const quiet = setUp();
   quiet.tracer.begin('r-1').end('answered', {status: 200}, 'plain');
   t.is(quiet.lines.length, 0);
-  const sampled = stage({sampling: 1});
+  const sampled = setUp({sampling: 1});
   sampled.tracer.begin('r-1').end('answered', {status: 200}, 'plain');
   t.is(sampled.lines.length, 1);
 });
 
 test('every process samples the same requests', t => {
   const loggedIds = () => {
-    const {tracer, lines} = stage({sampling: 8});
+    const {tracer, lines} = setUp({sampling: 8});
     for (let count = 0; count < 100; count++) {
       tracer.begin(`r-${count}`).end('answered', {}, 'plain');
     }
@@ -45,7 +45,7 @@
 });
 
 test('the end of a request is logged once, and nothing after it', t => {
-  const {tracer, messages} = stage();
+  const {tracer, messages} = setUp();
   const trace = tracer.begin('r-1');
   trace.end('cancelled', {}, 'notable');
   trace.record('moved', {});
@@ -54,7 +54,7 @@
 });
 
 test('failures beyond the rate are counted instead of logged', t => {
-  const {tracer, timers, lines} = stage({rate: 10, burst: 20});
+  const {tracer, timers, lines} = setUp({rate: 10, burst: 20});
   for (let count = 0; count < 500; count++) {
     const trace = tracer.begin(`r-${count}`);
     trace.record('routed', {});
@@ -66,7 +66,7 @@
 });
 
 test('a long request id is truncated in the log', t => {
-  const {tracer, lines} = stage();
+  const {tracer, lines} = setUp();
   tracer.begin('x'.repeat(10_000)).end('refused', {}, 'notable');
   t.true(String(lines[0]?.fields.request).length <= 64);
 });
--- a/src/request/decisions/time-limits.test.ts
+++ b/src/request/decisions/time-limits.test.ts
@@ -5,7 +5,7 @@
 import {createTimeLimiter} from './time-limits.js';
 
 /** A policy of 5000 ms with an objective of 100. */
-function stage() {
+function setUp() {
   const timers = createFakeTimers(1_000);
   const limiter = createTimeLimiter(timers);
   const match = {
@@ -19,19 +19,19 @@
 }
 
 test('the deadline is the shorter of the caller’s timeout and the policy’s deadline', t => {
-  const {limit} = stage();
+  const {limit} = setUp();
   t.is(limit(400).deadline, 1_400);
   t.is(limit(90_000).deadline, 6_000);
   t.is(limit().deadline, 6_000);
 });
 
 test('part of the objective is reserved for the network', t => {
-  const {limit} = stage();
+  const {limit} = setUp();
   t.is(limit().goodUntil, 1_090);
 });
 
 test('a retrying caller has less of the objective left', t => {
-  const {limit} = stage();
+  const {limit} = setUp();
   for (let count = 0; count < 20; count++) limit(400);
   t.is(limit(400).goodUntil, 1_090);
   t.is(limit(350).goodUntil, 1_040);
@@ -39,7 +39,7 @@
 
 test('a call with an inherited timeout is only held to its deadline', t => {
   // It is part of another request, whose work is wasted if the call is refused.
-  const {limit} = stage();
+  const {limit} = setUp();
   for (let count = 0; count < 50; count++) limit(20 + ((count * 37) % 230));
   t.is(limit(200).goodUntil, 1_200);
 });
@@ -48,7 +48,7 @@
   // The callers' timeouts are slightly shorter than the route's. If they counted
   // as calls with an inherited timeout, they would only be held to their deadline,
   // and with every slot in use each would queue behind others that are late too.
-  const {limit} = stage();
+  const {limit} = setUp();
   for (let count = 0; count < 50; count++) limit(680 + ((count * 37) % 120));
   t.is(limit(700).goodUntil, 1_090);
 });
@@ -56,7 +56,7 @@
 // Large answers are requested rarely, so little is known about their callers. If
 // they were accepted until their deadline, they would fill the link and be late.
 test('a large answer is held to the objective for every caller', t => {
-  const {limit} = stage();
+  const {limit} = setUp();
   t.is(limit(700).goodUntil, 1_700);
   t.is(limit(700, 'large').goodUntil, 1_090);
 });
@@ -64,7 +64,7 @@
 // Refused requests for large answers are retried with the remaining time, and
 // would be admitted like new ones.
 test('a retrying caller of large answers is detected after few requests', t => {
-  const {limit} = stage();
+  const {limit} = setUp();
   for (const timeout of [780, 700, 740]) limit(timeout, 'large');
   const {goodUntil} = limit(640, 'large');
   t.is(goodUntil, 1_090, 'within the variation of the callers');
--- a/src/request/decisions/upload-slots.test.ts
+++ b/src/request/decisions/upload-slots.test.ts
@@ -19,7 +19,7 @@
   return {body, end: (isWhole: boolean) => observe(isWhole)};
 }
 
-function stage(uploadSlots = 2, slots = 6) {
+function setUp(uploadSlots = 2, slots = 6) {
   const clock = createFakeTimers();
   const admission = withUploadSlots({
     admission: createAdmission({slots, queueLength: 36, clock}),
@@ -37,7 +37,7 @@
 }
 
 test('uploads beyond the upload slots wait without an upstream slot', t => {
-  const {admission, events, offer} = stage();
+  const {admission, events, offer} = setUp();
   for (const name of ['a', 'b', 'c', 'd']) offer(name, createBody().body);
   offer('lookup');
   t.deepEqual(events, ['a starts', 'b starts', 'lookup starts']);
@@ -47,7 +47,7 @@
 
 for (const isWhole of [true, false]) {
   test(`a body that has ended releases its upload slot, complete: ${isWhole}`, t => {
-    const {events, offer} = stage(1);
+    const {events, offer} = setUp(1);
     const first = createBody();
     offer('a', first.body);
     offer('b', createBody().body);
@@ -57,7 +57,7 @@
 }
 
 test('a withdrawn upload does not start', t => {
-  const {admission, events, offer} = stage(1);
+  const {admission, events, offer} = setUp(1);
   const first = createBody();
   offer('a', first.body);
   const second = offer('b', createBody().body);
@@ -68,7 +68,7 @@
 });
 
 test('a drain refuses the uploads that wait for an upload slot', t => {
-  const {admission, events, offer} = stage(1);
+  const {admission, events, offer} = setUp(1);
   offer('a', createBody().body);
   offer('b', createBody().body);
   admission.refuseWaiting(createRefusal(requestCodes.draining));
@@ -76,7 +76,7 @@
 });
 
 test('an upload whose body can’t arrive in time is refused immediately', t => {
-  const {clock, events, offer} = stage(1);
+  const {clock, events, offer} = setUp(1);
   const first = createBody();
   offer('a', first.body);
   clock.advance(1000);
@@ -87,7 +87,7 @@
 });
 
 test('with as many upload slots as slots, uploads start in the order of arrival', t => {
-  const {admission, events, offer} = stage(2, 2);
+  const {admission, events, offer} = setUp(2, 2);
   for (const name of ['a', 'b', 'c', 'd']) offer(name, createBody().body);
   admission.done(10);
   t.deepEqual(events, ['a starts', 'b starts', 'c starts']);
@@ -100,7 +100,7 @@
 });
 
 interface Transfer {
-  remaining: number;
+  left: number;
   done(): void;
 }
 
@@ -153,7 +153,7 @@
         const startedAt = clock.now();
         const remaining = 560_000 * random.fraction();
         link.add({
-          remaining,
+          left: remaining,
           done() {
             end(true);
             if (clock.now() <= deadline) count.whole++;
@@ -169,8 +169,8 @@
   function transmit(): void {
     const share = bytesPerTick / link.size;
     for (const transfer of [...link]) {
-      transfer.remaining -= share;
-      if (transfer.remaining > 0) continue;
+      transfer.left -= share;
+      if (transfer.left > 0) continue;
       link.delete(transfer);
       transfer.done();
     }
--- a/src/request/link-out.test.ts
+++ b/src/request/link-out.test.ts
@@ -154,7 +154,7 @@
         timers,
         currentRefusal: () => undefined,
         safeguards: allSafeguards,
-        onEnded: () => {},
+        ended: () => {},
         onAnswered: () => {},
         onLost: () => {},
       });
--- a/src/request/messages/hops.ts
+++ b/src/request/messages/hops.ts
@@ -65,7 +65,7 @@
   /** The status and headers of the answer arrived. */
   head(head: AnswerHead): void;
   /** The head of an answer arrived that must not be passed on. */
-  rejected(judgement: AnswerRejection): void;
+  rejected(rejection: AnswerRejection): void;
   /** Takes a chunk of the body; false pauses until `PendingRequest.resume`. */
   data(chunk: Buffer): boolean;
   end(): void;
