--- a/src/request/decisions/attempt-answer.test.ts
+++ b/src/request/decisions/attempt-answer.test.ts
@@ -37,7 +37,9 @@
     // counted as failures, the instances would be ejected for all callers.
     const {attempt, results} = setUp(hasShortTimeout);
     attempt.refuse(createRefusal(requestCodes.deadlinePassed));
-    t.deepEqual(results, [hasShortTimeout ? 'caller-left 0' : 'deadline-passed 0']);
+    t.deepEqual(results, [
+      hasShortTimeout ? 'caller-left 0' : 'deadline-passed 0',
+    ]);
   });
 }
 
