--- a/src/request/decisions/attempt-answer.ts
+++ b/src/request/decisions/attempt-answer.ts
@@ -12,9 +12,10 @@
 
 /**
  * Forwards the answer of an attempt, but passes a refusal to `onRefused`. An
- * expired deadline does not count against the instance if the caller set a short
- * one (`hasShortTimeout`): otherwise one caller could have every instance ejected with
- * timeouts of a millisecond. `onSize` receives the bytes of a complete answer.
+ * expired deadline does not count against the instance if the caller set a
+ * short one (`hasShortTimeout`): otherwise one caller could have every instance
+ * ejected with timeouts of a millisecond. `onSize` receives the bytes of a
+ * complete answer.
  */
 export function createAttemptAnswer(
   answer: Answer,
--- a/src/request/decisions/attempts.test.ts
+++ b/src/request/decisions/attempts.test.ts
@@ -10,11 +10,11 @@
 
 for (const {framedLinks, isGuarded: internalHeaders} of hopCases) {
   test(`a chain ${depth} deep whose bottom refuses, internal headers dropped: ${internalHeaders}, framed links: ${framedLinks}`, async t => {
-    // Each upstream calls the next one through its entry and passes on the answer
-    // with all headers. If an entry mistook a refusal from a lower level for one by
-    // its own gate, every level would retry, and the lowest one would receive
-    // 2^11 attempts. Three levels are enough to show this. On framed links a
-    // refusal is not a header and can't be forged.
+    // Each upstream calls the next one through its entry and passes on the
+    // answer with all headers. If an entry mistook a refusal from a lower level
+    // for one by its own gate, every level would retry, and the lowest one
+    // would receive 2^11 attempts. Three levels are enough to show this. On
+    // framed links a refusal is not a header and can't be forged.
     const isSafe = internalHeaders || framedLinks;
     const levels = isSafe ? depth : 3;
     let attempts = 0;
@@ -55,8 +55,9 @@
 }
 
 test('in a chain 11 deep, entries don’t retry a refusal by the lowest entry', async t => {
-  // Only an entry that receives a refusal from its own gate retries. If every level
-  // made three attempts, the lowest entry would receive three to the eleventh.
+  // Only an entry that receives a refusal from its own gate retries. If every
+  // level made three attempts, the lowest entry would receive three to the
+  // eleventh.
   let lowestCalls = 0;
   const meshes: Mesh[] = [];
   const lowest = await createMesh({
@@ -89,8 +90,8 @@
 
 for (const once of [false, true]) {
   test(`a booking whose upstream closes the connection, retried only if idempotent: ${once}`, async t => {
-    // The upstream books and closes its connection before the answer. A retry at
-    // the next instance would book a second time.
+    // The upstream books and closes its connection before the answer. A retry
+    // at the next instance would book a second time.
     let booked = 0;
     const closeConnection = (_req: unknown, res: {destroy(): void}) => {
       booked++;
@@ -127,9 +128,10 @@
 
 for (const heldUploads of [false, true]) {
   test(`a large upload refused by one gate goes to the next, upload held: ${heldUploads}`, async t => {
-    // The first gate drains, which the entry has not learned yet. Unless the upload
-    // waits for its admission, its first bytes have been sent when the refusal
-    // arrives, and the caller must resend it although another instance was free.
+    // The first gate drains, which the entry has not learned yet. Unless the
+    // upload waits for its admission, its first bytes have been sent when the
+    // refusal arrives, and the caller must resend it although another instance
+    // was free.
     let stored = 0;
     const mesh = await createMesh({
       upstreams: [1, 2].map(() => async (req, res) => {
--- a/src/request/decisions/crash-detector.ts
+++ b/src/request/decisions/crash-detector.ts
@@ -1,7 +1,7 @@
 /**
- * Distinguishes a crash of the upstream from a broken connection. When the process
- * ends, all its connections fail within milliseconds and nothing listens at its
- * address any more.
+ * Distinguishes a crash of the upstream from a broken connection. When the
+ * process ends, all its connections fail within milliseconds and nothing
+ * listens at its address any more.
  */
 import type {Timers} from '../../time/timers.js';
 import type {Call} from '../messages/call.js';
--- a/src/request/decisions/egress-reservations.test.ts
+++ b/src/request/decisions/egress-reservations.test.ts
@@ -17,7 +17,9 @@
   });
   reservations.recordSize('archive', size);
   reservations.recordSize('lookup', 400);
-  /** Reserves an answer of a kind with 640 ms to its deadline, unless refused. */
+  /**
+   * Reserves an answer of a kind with 640 ms to its deadline, unless refused.
+   */
   function offer(kind: string) {
     const reason = reservations.refusal(kind, clock.now() + 640);
     return {
@@ -74,8 +76,9 @@
   t.not(offer('video').reason, undefined);
 });
 
-// A stream that lasts for minutes would reserve the link for that time, and other
-// large answers would be refused although they are served after one quantum.
+// A stream that lasts for minutes would reserve the link for that time, and
+// other large answers would be refused although they are served after one
+// quantum.
 test('an endless answer reserves one quantum', t => {
   const {reservations, offer} = setUp();
   reservations.recordSize('film', 1000 * size);
--- a/src/request/decisions/egress-reservations.ts
+++ b/src/request/decisions/egress-reservations.ts
@@ -1,7 +1,7 @@
 /**
- * Reserves capacity of the egress link of a VM for large answers. An answer that
- * can't be sent in time wastes a slot and delays other answers, so its request is
- * refused before it starts.
+ * Reserves capacity of the egress link of a VM for large answers. An answer
+ * that can't be sent in time wastes a slot and delays other answers, so its
+ * request is refused before it starts.
  */
 import type {Clock} from '../../time/clock.js';
 import {answerQuantum} from '../messages/answer.js';
@@ -12,7 +12,9 @@
 
 /** Link capacity that is reserved for the answer to one call. */
 export interface EgressReservation {
-  /** Releases bytes of the answer that arrived and now wait in the egress queue. */
+  /**
+   * Releases bytes of the answer that arrived and now wait in the egress queue.
+   */
   arrived(bytes: number): void;
   /** Releases the rest, since no more of the answer will arrive. */
   end(): void;
@@ -20,7 +22,9 @@
 
 /** The reservations on one egress link. */
 export interface EgressReservations {
-  /** Reserved and queued bytes, plus one answer, divided by those sent in time. */
+  /**
+   * Reserved and queued bytes, plus one answer, divided by those sent in time.
+   */
   readonly load: number;
   /** Whether answers of a kind are large, by their mean size so far. */
   isLarge(kind: string | undefined): boolean;
@@ -48,8 +52,8 @@
 /**
  * Share of the remaining time within which an answer must be sent, by the
  * estimate. The rest allows for answers without a reservation that are sent
- * first (small ones and those to the entry's callers), for sizes above the mean,
- * and for the remaining path to the caller.
+ * first (small ones and those to the entry's callers), for sizes above the
+ * mean, and for the remaining path to the caller.
  */
 const sendTimeShare = 0.65;
 
@@ -114,13 +118,15 @@
       const size = sizeOf(kind!);
       const remainingTime = (until - clock.now()) / millisecondsPerSecond;
       const time = Math.max(0, remainingTime * sendTimeShare);
-      // A call that is late already says nothing about the time that others have.
+      // A call that is late already says nothing about the time that others
+      // have.
       if (time > 0) observe(time, size);
       const queued = backlog();
       const free = freeRate();
       // An idle link is always used, even if the answer seems to be too large.
       if (queued === 0 || (queued + size) / free <= time) return undefined;
-      // If no answer ever seems to fit, one is admitted to correct the estimate.
+      // If no answer ever seems to fit, one is admitted to correct the
+      // estimate.
       if (size / free > time && !openCounts.has(kind!)) return undefined;
       const wait = Math.max(minRetryDelay, queued / free);
       return createRefusal(requestCodes.deadlineUnreachable, undefined, wait);
--- a/src/request/decisions/ejection.test.ts
+++ b/src/request/decisions/ejection.test.ts
@@ -24,8 +24,9 @@
 
 for (const maxShare of [1, 0.5]) {
   test(`a fault of all instances, maximum share of ejections ${maxShare}`, t => {
-    // Every instance fails, for example because of a shared disk. Without a maximum
-    // the service has no instances left, even after the fault has been fixed.
+    // Every instance fails, for example because of a shared disk. Without a
+    // maximum the service has no instances left, even after the fault has been
+    // fixed.
     const ejection = createEjection({log, clock: createFakeTimers(), maxShare});
     for (const instance of service) fail(ejection, instance);
     t.is(ejection.allowed(service).size, maxShare === 1 ? 0 : 2);
--- a/src/request/decisions/ejection.ts
+++ b/src/request/decisions/ejection.ts
@@ -1,7 +1,7 @@
 /**
  * Ejects instances from load balancing after failed calls of an entry (outlier
- * ejection). The health that an upstream reports may be outdated or wrong, whereas
- * failed calls are certain.
+ * ejection). The health that an upstream reports may be outdated or wrong,
+ * whereas failed calls are certain.
  */
 import type {Log} from '../../log/log.js';
 import type {Clock} from '../../time/clock.js';
@@ -14,7 +14,9 @@
   readonly duration?: number;
   /** Maximum duration of an ejection; 60000 by default. */
   readonly maxDuration?: number;
-  /** Maximum share of a service's instances that are ejected; 0.5 by default. */
+  /**
+   * Maximum share of a service's instances that are ejected; 0.5 by default.
+   */
   readonly maxShare?: number;
   readonly clock: Clock;
   readonly log: Log;
@@ -69,8 +71,8 @@
 
   /**
    * The ejected instances, up to the maximum share; those with the latest end
-   * come first. Without a maximum, a fault that affects all instances would leave
-   * a service without instances.
+   * come first. Without a maximum, a fault that affects all instances would
+   * leave a service without instances.
    */
   function ejected(instances: readonly string[]): string[] {
     const candidates = instances.filter(isEjected);
--- a/src/request/decisions/gate-quarantine.ts
+++ b/src/request/decisions/gate-quarantine.ts
@@ -18,7 +18,10 @@
 export interface GateQuarantineOptions {
   /** The configuration in force; undefined until one is proved fresh. */
   readonly configuration: () => Configuration | undefined;
-  /** Life of the instance, by which trials are assigned; no trials run if absent. */
+  /**
+   * Life of the instance, by which trials are assigned; no trials run if
+   * absent.
+   */
   readonly life?: string | undefined;
   /** Whether a process listens at the upstream's address; true by default. */
   readonly isListening?: (() => Promise<boolean>) | undefined;
@@ -51,8 +54,8 @@
   const quarantines = createQuarantines(options.configuration, safeguards);
   /**
    * Trials that were not answered. A trial whose caller has disconnected is not
-   * running any more when the instance crashes. It is still reported, because it
-   * would otherwise get another trial at another instance.
+   * running any more when the instance crashes. It is still reported, because
+   * it would otherwise get another trial at another instance.
    */
   const unanswered = new Set<Call>();
   const crashes = createCrashDetector({
--- a/src/request/decisions/gate-state-machine.ts
+++ b/src/request/decisions/gate-state-machine.ts
@@ -9,7 +9,9 @@
 /** The state of one gate; `stopping` is final. */
 export interface GateStateMachine {
   state(): GateState;
-  /** Applies an event; events without a transition from the state are ignored. */
+  /**
+   * Applies an event; events without a transition from the state are ignored.
+   */
   send(event: GateEvent): void;
 }
 
--- a/src/request/decisions/instance-pool.test.ts
+++ b/src/request/decisions/instance-pool.test.ts
@@ -35,7 +35,10 @@
   ) {
     return pool.choose('stock-desk', configuration, new Set(tried), size);
   }
-  /** Counts the choices of each instance in 100 calls that are answered immediately. */
+  /**
+   * Counts the choices of each instance in 100 calls that are answered
+   * immediately.
+   */
   function shares(
     answer = (target: PooledInstance) => target.ended(undefined, 200),
   ) {
@@ -81,8 +84,8 @@
 });
 
 test('an instance that fails quickly does not attract calls', t => {
-  // The instance reports good health and fails quickly, so it has the fewest open
-  // calls. Each entry sends it too few calls to eject it soon.
+  // The instance reports good health and fails quickly, so it has the fewest
+  // open calls. Each entry sends it too few calls to eject it soon.
   const {shares, choose} = setUp(['a', 'b', 'c'], {
     ejection: {failures: 1_000},
   });
@@ -113,8 +116,8 @@
   t.truthy(choose(stockConfiguration, ['a', 'b']));
 });
 
-// With a single load for all calls, small calls would avoid an instance with free
-// slots whose link is full, or large calls would be sent to a full link.
+// With a single load for all calls, small calls would avoid an instance with
+// free slots whose link is full, or large calls would be sent to a full link.
 test('a gate that is only full for large calls still gets small ones', t => {
   const {choose, shares} = setUp(['a', 'b']);
   const chooseLarge = (tried: string[] = []) =>
--- a/src/request/decisions/keyed-run.test.ts
+++ b/src/request/decisions/keyed-run.test.ts
@@ -21,8 +21,8 @@
 
 for (const keepsClaims of [false, true]) {
   test(`a booking sent again with its key, claims kept: ${keepsClaims}`, async t => {
-    // The answer is lost and the client sends the request again with the same key.
-    // Without the claim the part is booked twice.
+    // The answer is lost and the client sends the request again with the same
+    // key. Without the claim the part is booked twice.
     let booked = 0;
     const mesh = await createMesh({
       claims: createFakeClaims(keepsClaims),
--- a/src/request/decisions/keyed-run.ts
+++ b/src/request/decisions/keyed-run.ts
@@ -115,8 +115,8 @@
       answer.end();
     },
     refuse: (reason: Refusal) => {
-      // Only a `not-run` refusal releases the key. After any other refusal the call
-      // may have run, and a released key would allow it to run twice.
+      // Only a `not-run` refusal releases the key. After any other refusal the
+      // call may have run, and a released key would allow it to run twice.
       if (reason.code.effect === 'not-run') claim.release();
       else claim.abandon();
       answer.refuse(reason);
--- a/src/request/decisions/quarantines.ts
+++ b/src/request/decisions/quarantines.ts
@@ -10,7 +10,9 @@
 
 /** The quarantines in force at a node. */
 export interface Quarantines {
-  /** The quarantine of a request, whose body or first chunk must have arrived. */
+  /**
+   * The quarantine of a request, whose body or first chunk must have arrived.
+   */
   find(call: Call): Quarantine | undefined;
   /** Whether a request may be quarantined, judged by its head. */
   mayMatch(call: Call): boolean;
--- a/src/request/decisions/request-digest.ts
+++ b/src/request/decisions/request-digest.ts
@@ -1,7 +1,8 @@
 /**
- * Digests that identify a request by caller, method, host, path and body. The id,
- * the idempotency key and the deadline are not included, since they differ when
- * the request is resent, and neither is the service, since the route may change.
+ * Digests that identify a request by caller, method, host, path and body. The
+ * id, the idempotency key and the deadline are not included, since they differ
+ * when the request is resent, and neither is the service, since the route may
+ * change.
  */
 import {createHash} from 'node:crypto';
 import type {Suspect} from '../../quarantine/messages.js';
@@ -10,7 +11,9 @@
 import type {Upload} from '../messages/upload.js';
 import {bufferLimit} from '../messages/upload.js';
 
-/** Hexadecimal digits of a digest: 128 bits, so that collisions can't be found. */
+/**
+ * Hexadecimal digits of a digest: 128 bits, so that collisions can't be found.
+ */
 const digits = 32;
 
 /** Cached digests of heads; entry and gate use each one several times. */
@@ -36,8 +39,8 @@
 }
 
 /**
- * The name by which a request is reported and quarantined; undefined until enough
- * of its body has arrived.
+ * The name by which a request is reported and quarantined; undefined until
+ * enough of its body has arrived.
  */
 export function requestName(call: Call): string | undefined {
   return requestDigest(headDigest(call), call.body);
--- a/src/request/decisions/request-tracer.ts
+++ b/src/request/decisions/request-tracer.ts
@@ -1,8 +1,8 @@
 /**
- * Logs the decisions about requests. The decisions are buffered until the request
- * ends: most requests succeed, and logging each of them would cost more than
- * serving it. A sample of the successful requests is logged too, for comparison;
- * every process samples the same requests.
+ * Logs the decisions about requests. The decisions are buffered until the
+ * request ends: most requests succeed, and logging each of them would cost more
+ * than serving it. A sample of the successful requests is logged too, for
+ * comparison; every process samples the same requests.
  */
 import murmurhash from 'murmurhash';
 import {createLineBudget} from '../../log/line-budget.js';
@@ -60,8 +60,8 @@
 
 // A line costs 13 us of processor time, and 80 us before the code is optimized.
 // 20 lines per second take 0.03 % of a core, which is a fortieth of a node's
-// budget for all control work. A burst of 60 lines covers about 12 requests, which
-// is enough to diagnose a sudden failure.
+// budget for all control work. A burst of 60 lines covers about 12 requests,
+// which is enough to diagnose a sudden failure.
 const defaults = {sampling: 256, rate: 20, burst: 60};
 
 /** Maximum length of a logged id; callers may send longer ones. */
@@ -107,7 +107,8 @@
   outcome: OutcomeKind,
 ) => void;
 
-// This is a class, since closures for each request would cost more than the records.
+// This is a class, since closures for each request would cost more than the
+// records.
 class OpenTrace implements RequestTrace {
   private readonly records: DecisionRecord[] = [];
   private isEnded = false;
--- a/src/request/decisions/retry.test.ts
+++ b/src/request/decisions/retry.test.ts
@@ -73,8 +73,9 @@
 });
 
 test('a move from a gate without capacity does not use the retry budget', t => {
-  // One gate has no capacity before the deadline, another one has. The retry limit
-  // that operators set counts calls that reach an instance, which a move does not.
+  // One gate has no capacity before the deadline, another one has. The retry
+  // limit that operators set counts calls that reach an instance, which a move
+  // does not.
   const empty = createRetryBudget({most: 0});
   const code = requestCodes.deadlineUnreachable;
   t.true(shouldRetry(refused({code, budget: empty})));
--- a/src/request/decisions/time-limits.ts
+++ b/src/request/decisions/time-limits.ts
@@ -1,4 +1,6 @@
-/** Determines the deadline of a request and until when it meets its objective. */
+/**
+ * Determines the deadline of a request and until when it meets its objective.
+ */
 import type {Route} from '../../configuration/configuration.js';
 import type {Timers} from '../../time/timers.js';
 import type {CallerOptions} from '../messages/call.js';
@@ -15,7 +17,10 @@
 
 /** Determines the limits of requests. */
 export interface TimeLimiter {
-  /** The limits of a request that has just arrived; `size` is that of its answer. */
+  /**
+   * The limits of a request that has just arrived; `size` is that of its
+   * answer.
+   */
   limit(
     callerOptions: CallerOptions,
     match: RouteMatch,
@@ -26,8 +31,8 @@
 }
 
 /**
- * Milliseconds of the objective that are reserved for the network between caller
- * and entry, in both directions: the network of a region and two hops.
+ * Milliseconds of the objective that are reserved for the network between
+ * caller and entry, in both directions: the network of a region and two hops.
  */
 const networkAllowance = 10;
 
@@ -37,10 +42,10 @@
 
   /**
    * Milliseconds in which an answer meets the objective. An upstream's call on
-   * behalf of another request inherits the remaining time of that request. It is
-   * not held to the objective, since refusing it would waste the work already
-   * done. A late large answer delays others on the link, so it is held to an
-   * estimate even if little is known about the callers.
+   * behalf of another request inherits the remaining time of that request. It
+   * is not held to the objective, since refusing it would waste the work
+   * already done. A late large answer delays others on the link, so it is held
+   * to an estimate even if little is known about the callers.
    */
   function objectiveTime(
     {timeout}: CallerOptions,
--- a/src/request/decisions/upload-slots.test.ts
+++ b/src/request/decisions/upload-slots.test.ts
@@ -105,10 +105,10 @@
 }
 
 /**
- * Simulates sixty seconds of short lookups and of uploads that nearly fill a link,
- * at an instance with nine slots. Returns the share of lookups that started within
- * 200 ms, and of uploads that were complete within their deadline of 3 s, and
- * within 1.2 s (good).
+ * Simulates sixty seconds of short lookups and of uploads that nearly fill a
+ * link, at an instance with nine slots. Returns the share of lookups that
+ * started within 200 ms, and of uploads that were complete within their
+ * deadline of 3 s, and within 1.2 s (good).
  */
 function simulate(uploadSlots: number) {
   const clock = createFakeTimers();
@@ -189,9 +189,10 @@
   };
 }
 
-// Lookups at instances with uploads were late or refused although the instance was
-// idle: the bodies shared the link, took seconds and occupied all slots. With upload
-// slots, lookups are in time and at least as many uploads are complete in time.
+// Lookups at instances with uploads were late or refused although the instance
+// was idle: the bodies shared the link, took seconds and occupied all slots.
+// With upload slots, lookups are in time and at least as many uploads are
+// complete in time.
 test('lookups get slots while uploads fill the link', t => {
   const shared = simulate(9);
   const limited = simulate(3);
--- a/src/request/decisions/upload-slots.ts
+++ b/src/request/decisions/upload-slots.ts
@@ -1,15 +1,18 @@
 /**
- * Limits the number of uploads that a gate receives concurrently. If many bodies
- * share the link, each takes seconds and occupies an upstream slot meanwhile: other
- * calls find no free slot, and all uploads are late. Uploads without an upload slot
- * wait without an upstream slot, and are refused as soon as they would be late.
+ * Limits the number of uploads that a gate receives concurrently. If many
+ * bodies share the link, each takes seconds and occupies an upstream slot
+ * meanwhile: other calls find no free slot, and all uploads are late. Uploads
+ * without an upload slot wait without an upstream slot, and are refused as soon
+ * as they would be late.
  */
 import type {Clock} from '../../time/clock.js';
 import type {StreamUpload} from '../messages/upload.js';
 import {createAdmission} from './admission.js';
 import type {Admission, Ticket} from './admission.js';
 
-/** Minimum bytes per second for each body, enough for a photo in half a second. */
+/**
+ * Minimum bytes per second for each body, enough for a photo in half a second.
+ */
 const minRate = 512 * 1024;
 
 /** Upload slots for a link that carries `rate` bytes of bodies per second. */
@@ -31,15 +34,17 @@
 }
 
 /**
- * Wraps an admission so that uploads get an upload slot before an upstream slot.
- * Returns the admission unchanged if there are as many upload slots as slots.
+ * Wraps an admission so that uploads get an upload slot before an upstream
+ * slot. Returns the admission unchanged if there are as many upload slots as
+ * slots.
  */
 export function withUploadSlots(options: UploadSlotsOptions): Admission {
   const {admission, clock} = options;
   if (options.uploadSlots >= options.slots) return admission;
   // Upload timeouts are several seconds long. On a full link in the order of
-  // arrival, all uploads would wait for that time and be late. If the last one is
-  // served first, as many as the link carries are in time and others are refused.
+  // arrival, all uploads would wait for that time and be late. If the last one
+  // is served first, as many as the link carries are in time and others are
+  // refused.
   const uploads = createAdmission({
     slots: options.uploadSlots,
     queueLength: options.queueLength,
--- a/src/request/messages/answer.ts
+++ b/src/request/messages/answer.ts
@@ -25,10 +25,14 @@
   /** Starts the answer with the upstream's status and headers. */
   abstract start(head: AnswerHead): void;
 
-  /** Writes a chunk of the body; false asks the sender to wait for `onDrain`. */
+  /**
+   * Writes a chunk of the body; false asks the sender to wait for `onDrain`.
+   */
   abstract write(chunk: Buffer): boolean;
 
-  /** Calls `resume` once when there is room again after `write` returned false. */
+  /**
+   * Calls `resume` once when there is room again after `write` returned false.
+   */
   abstract onDrain(resume: () => void): void;
 
   /** Ends a complete answer. */
--- a/src/request/messages/hops.ts
+++ b/src/request/messages/hops.ts
@@ -8,7 +8,9 @@
 import type {Answer} from './answer.js';
 import type {AnswerHead, Call, Cancel, Refusal} from './call.js';
 
-/** A node's gate, as used by its listeners and by the entry of the same node. */
+/**
+ * A node's gate, as used by its listeners and by the entry of the same node.
+ */
 export interface CallHandler {
   /** The upstream instance that the gate serves. */
   readonly instance: string;
@@ -38,29 +40,40 @@
   ): Cancel;
 }
 
-/** Reason for rejecting an upstream's answer, and what to do with its connection. */
+/**
+ * Reason for rejecting an upstream's answer, and what to do with its
+ * connection.
+ */
 export interface AnswerRejection {
   readonly refusal: Refusal;
-  /** Kept if the answer is well formed; broken if later bytes can't be trusted. */
+  /**
+   * Kept if the answer is well formed; broken if later bytes can't be trusted.
+   */
   readonly connection: 'kept' | 'broken';
 }
 
 /** A request that has been sent and not ended yet. */
 export interface PendingRequest {
-  /** Continues to read the answer after `UpstreamReceiver.data` returned false. */
+  /**
+   * Continues to read the answer after `UpstreamReceiver.data` returned false.
+   */
   resume(): void;
   /**
    * Asks the peer to end the request and waits for it to close the connection;
    * `cancel` may follow.
    */
   close(reason: Error): void;
-  /** Resets the connection; calls the receiver's `failed` unless it has ended. */
+  /**
+   * Resets the connection; calls the receiver's `failed` unless it has ended.
+   */
   cancel(reason: Error): void;
 }
 
 /** Receives the result of a call that was sent to the upstream. */
 export interface UpstreamReceiver {
-  /** The first byte is about to be written; from now on the call may have run. */
+  /**
+   * The first byte is about to be written; from now on the call may have run.
+   */
   began(): void;
   /** The status and headers of the answer arrived. */
   head(head: AnswerHead): void;
--- a/src/request/messages/safeguards.ts
+++ b/src/request/messages/safeguards.ts
@@ -1,9 +1,13 @@
 /**
- * Safeguards of the request path that tests can disable to show the failure that
- * each one prevents. For tests only: a process always runs with all of them.
+ * Safeguards of the request path that tests can disable to show the failure
+ * that each one prevents. For tests only: a process always runs with all of
+ * them.
  */
 export interface Safeguards {
-  /** A failed call that may have reached its upstream is `unknown`, not `not-run`. */
+  /**
+   * A failed call that may have reached its upstream is `unknown`, not
+   * `not-run`.
+   */
   readonly unknownEffect: boolean;
   /** A call that may have run is retried only if it is idempotent. */
   readonly once: boolean;
@@ -14,9 +18,14 @@
   readonly framedLinks: boolean;
   /** Internal headers that come from outside the mesh are removed. */
   readonly internalHeaders: boolean;
-  /** An answer without framing, which could be truncated unnoticed, is an error. */
+  /**
+   * An answer without framing, which could be truncated unnoticed, is an error.
+   */
   readonly framing: boolean;
-  /** A truncated answer resets its connection, so that the receiver sees an error. */
+  /**
+   * A truncated answer resets its connection, so that the receiver sees an
+   * error.
+   */
   readonly visibleCuts: boolean;
   /** A gate accepts only calls that are addressed to its instance. */
   readonly instanceCheck: boolean;
@@ -24,7 +33,10 @@
   readonly heldUploads: boolean;
   /** A call whose caller has disconnected is cancelled. */
   readonly cancellation: boolean;
-  /** A cancelled call keeps its slot until the upstream has closed the connection. */
+  /**
+   * A cancelled call keeps its slot until the upstream has closed the
+   * connection.
+   */
   readonly heldSlots: boolean;
   /** The gate checks for a drain again when a call leaves the queue. */
   readonly drainAtStart: boolean;
--- a/src/request/messages/upload.ts
+++ b/src/request/messages/upload.ts
@@ -16,7 +16,9 @@
   readonly kind: 'stream';
   /** Length in bytes, if the sender announced it. */
   readonly length: number | undefined;
-  /** Whether an attempt has read past the first chunk; then it can't be resent. */
+  /**
+   * Whether an attempt has read past the first chunk; then it can't be resent.
+   */
   consumed(): boolean;
   /** Releases the chunks after the first; called when the call is admitted. */
   release(): void;
@@ -29,8 +31,8 @@
    */
   rewind(): void;
   /**
-   * Calls `observe` once when reading stops: with true after the last chunk, and
-   * with false if the body is abandoned.
+   * Calls `observe` once when reading stops: with true after the last chunk,
+   * and with false if the body is abandoned.
    */
   onEnd(observe: (isWhole: boolean) => void): void;
   /**
