--- a/src/request/decisions/gate-quarantine.ts
+++ b/src/request/decisions/gate-quarantine.ts
@@ -18,10 +18,7 @@
 export interface GateQuarantineOptions {
   /** The configuration in force; undefined until one is proved fresh. */
   readonly configuration: () => Configuration | undefined;
-  /**
-   * Life of the instance, by which trials are assigned; no trials run if
-   * absent.
-   */
+  /** Life to which trials are assigned; no trials run if absent. */
   readonly life?: string | undefined;
   /** Whether a process listens at the upstream's address; true by default. */
   readonly isListening?: (() => Promise<boolean>) | undefined;
--- a/src/request/decisions/instance-pool.test.ts
+++ b/src/request/decisions/instance-pool.test.ts
@@ -35,10 +35,7 @@
   ) {
     return pool.choose('stock-desk', configuration, new Set(tried), size);
   }
-  /**
-   * Counts the choices of each instance in 100 calls that are answered
-   * immediately.
-   */
+  /** Counts the choices of each instance in 100 consecutive calls. */
   function shares(
     answer = (target: PooledInstance) => target.ended(undefined, 200),
   ) {
--- a/src/request/decisions/time-limits.ts
+++ b/src/request/decisions/time-limits.ts
@@ -17,10 +17,7 @@
 
 /** Determines the limits of requests. */
 export interface TimeLimiter {
-  /**
-   * The limits of a request that has just arrived; `size` is that of its
-   * answer.
-   */
+  /** The limits of a request that has just arrived; `size` is its answer's. */
   limit(
     callerOptions: CallerOptions,
     match: RouteMatch,
--- a/src/request/messages/hops.ts
+++ b/src/request/messages/hops.ts
@@ -40,10 +40,7 @@
   ): Cancel;
 }
 
-/**
- * Reason for rejecting an upstream's answer, and what to do with its
- * connection.
- */
+/** Why an upstream's answer is rejected, and what to do with its connection. */
 export interface AnswerRejection {
   readonly refusal: Refusal;
   /**
--- a/src/request/messages/safeguards.ts
+++ b/src/request/messages/safeguards.ts
@@ -4,10 +4,7 @@
  * them.
  */
 export interface Safeguards {
-  /**
-   * A failed call that may have reached its upstream is `unknown`, not
-   * `not-run`.
-   */
+  /** A failed call that may have reached its upstream is `unknown`. */
   readonly unknownEffect: boolean;
   /** A call that may have run is retried only if it is idempotent. */
   readonly once: boolean;
@@ -22,10 +19,7 @@
    * An answer without framing, which could be truncated unnoticed, is an error.
    */
   readonly framing: boolean;
-  /**
-   * A truncated answer resets its connection, so that the receiver sees an
-   * error.
-   */
+  /** A truncated answer resets its connection, so its receiver sees an error. */
   readonly visibleCuts: boolean;
   /** A gate accepts only calls that are addressed to its instance. */
   readonly instanceCheck: boolean;
@@ -33,10 +27,7 @@
   readonly heldUploads: boolean;
   /** A call whose caller has disconnected is cancelled. */
   readonly cancellation: boolean;
-  /**
-   * A cancelled call keeps its slot until the upstream has closed the
-   * connection.
-   */
+  /** A cancelled call keeps its slot until the upstream has closed. */
   readonly heldSlots: boolean;
   /** The gate checks for a drain again when a call leaves the queue. */
   readonly drainAtStart: boolean;
