--- a/src/request/messages/safeguards.ts
+++ b/src/request/messages/safeguards.ts
@@ -19,7 +19,7 @@
    * An answer without framing, which could be truncated unnoticed, is an error.
    */
   readonly framing: boolean;
-  /** A truncated answer resets its connection, so its receiver sees an error. */
+  /** A truncated answer resets its connection, which its receiver notices. */
   readonly visibleCuts: boolean;
   /** A gate accepts only calls that are addressed to its instance. */
   readonly instanceCheck: boolean;
