--- a/src/request/decisions/attempt-answer.test.ts
+++ b/src/request/decisions/attempt-answer.test.ts
@@ -3,13 +3,13 @@
 import {requestCodes} from '../messages/codes.js';
 import {announcementOf} from '../fakes/fake-endpoints.js';
 import {createFakeAnswer} from '../fakes/fake-answer.js';
-import {refusal} from '../messages/refusal.js';
+import {createRefusal} from '../messages/refusal.js';
 
-function stage(isHurried: boolean) {
-  const judged: string[] = [];
-  const peer = {
+function setUp(hasShortTimeout: boolean) {
+  const results: string[] = [];
+  const target = {
     announcement: announcementOf(),
-    known: () => ({
+    logFields: () => ({
       outstanding: 0,
       load: 0,
       loadAge: undefined,
@@ -18,34 +18,36 @@
       stateAge: 0,
     }),
     began: () => {},
-    loaded: () => {},
+    updateLoad: () => {},
     ended: (code: {name: string} | undefined, status: number) =>
-      void judged.push(`${code?.name} ${status}`),
+      void results.push(`${code?.name} ${status}`),
   };
   const attempt = createAttemptAnswer(
     createFakeAnswer(),
-    peer,
+    target,
     () => {},
-    isHurried,
+    hasShortTimeout,
   );
-  return {attempt, judged};
+  return {attempt, results};
 }
 
-for (const isHurried of [false, true]) {
-  test(`a deadline that passed, caller in a hurry: ${isHurried}`, t => {
-    // One caller asks for a millisecond again and again. Held against the
-    // instances, its deadlines would have them ejected for all callers.
-    const {attempt, judged} = stage(isHurried);
-    attempt.refuse(refusal(requestCodes.deadlinePassed));
-    t.deepEqual(judged, [isHurried ? 'caller-left 0' : 'deadline-passed 0']);
+for (const hasShortTimeout of [false, true]) {
+  test(`an expired deadline, timeout set short by the caller: ${hasShortTimeout}`, t => {
+    // One caller repeatedly sends a timeout of a millisecond. If its deadlines
+    // counted as failures, the instances would be ejected for all callers.
+    const {attempt, results} = setUp(hasShortTimeout);
+    attempt.refuse(createRefusal(requestCodes.deadlinePassed));
+    t.deepEqual(results, [
+      hasShortTimeout ? 'caller-left 0' : 'deadline-passed 0',
+    ]);
   });
 }
 
-test('an attempt is judged once, also when its caller leaves', t => {
-  const {attempt, judged} = stage(false);
+test('the result of an attempt is reported once, even if its caller disconnects', t => {
+  const {attempt, results} = setUp(false);
   attempt.start({status: 200, reason: 'OK', headers: []});
   attempt.abandon();
   attempt.end();
   attempt.cut();
-  t.deepEqual(judged, ['caller-left 200']);
+  t.deepEqual(results, ['caller-left 200']);
 });
--- /dev/null
+++ b/src/request/decisions/instance-pool.test.ts
@@ -0,0 +1,128 @@
+import test from 'ava';
+import {createSilentLog} from '../../log/log.js';
+import {createRandom} from '../../random/random.js';
+import {createFakeTimers} from '../../time/fakes/fake-timers.js';
+import {createPowerOfTwoBalancer} from './balancer.js';
+import {requestCodes} from '../messages/codes.js';
+import {configurationOf, stockConfiguration} from '../fakes/configurations.js';
+import {announcementOf, createFakeEndpoints} from '../fakes/fake-endpoints.js';
+import {createInstancePool} from './instance-pool.js';
+import type {
+  CallSize,
+  PooledInstance,
+  InstancePoolOptions,
+} from './instance-pool.js';
+
+function setUp(
+  names: readonly string[],
+  changes: Partial<InstancePoolOptions> = {},
+) {
+  const timers = createFakeTimers(1_000_000);
+  const endpoints = createFakeEndpoints();
+  for (const instance of names) endpoints.put(announcementOf({instance}));
+  const pool = createInstancePool({
+    failureDomain: 'rusayl-a',
+    endpoints,
+    balancer: createPowerOfTwoBalancer(createRandom(3)),
+    timers,
+    log: createSilentLog(),
+    ...changes,
+  });
+  function choose(
+    configuration = stockConfiguration,
+    tried: string[] = [],
+    size: CallSize = 'small',
+  ) {
+    return pool.choose('stock-desk', configuration, new Set(tried), size);
+  }
+  /** Counts the choices of each instance in 100 consecutive calls. */
+  function shares(
+    answer = (target: PooledInstance) => target.ended(undefined, 200),
+  ) {
+    const counts: Record<string, number> = {};
+    for (let call = 0; call < 100; call++) {
+      const target = choose()!;
+      const {instance} = target.announcement;
+      counts[instance] = (counts[instance] ?? 0) + 1;
+      target.began();
+      answer(target);
+    }
+    return counts;
+  }
+  return {timers, endpoints, choose, shares};
+}
+
+test('an instance that drains, is drained or is gone gets no calls', t => {
+  const {endpoints, choose} = setUp(['a', 'b', 'c']);
+  endpoints.put(announcementOf({instance: 'a', state: 'draining'}));
+  endpoints.remove('stock-desk', 'b');
+  const drains = [{name: 'c', service: 'stock-desk'}];
+  t.is(choose()!.announcement.instance, 'c');
+  t.is(choose(configurationOf({drains})), undefined);
+});
+
+test('an instance that refused a call as draining gets no calls for a while', t => {
+  const {timers, choose, shares} = setUp(['a', 'b']);
+  const target = choose(stockConfiguration, ['b'])!;
+  target.began();
+  target.ended(requestCodes.draining, 0);
+  t.deepEqual(shares(), {b: 100});
+  timers.advance(2_000);
+  t.true(shares()['a']! > 0);
+});
+
+test('failures of its previous life do not count against an instance', t => {
+  const {endpoints, choose, shares} = setUp(['a', 'b']);
+  const target = choose(stockConfiguration, ['b'])!;
+  target.began();
+  target.ended(requestCodes.stopping, 0);
+  endpoints.put(announcementOf({instance: 'a', incarnation: 2}));
+  t.true(shares()['a']! > 0);
+});
+
+test('an instance that fails quickly does not attract calls', t => {
+  // The instance reports good health and fails quickly, so it has the fewest
+  // open calls. Each entry sends it too few calls to eject it soon.
+  const {shares, choose} = setUp(['a', 'b', 'c'], {
+    ejection: {failures: 1_000},
+  });
+  const {announcement} = choose(stockConfiguration, ['b', 'c'])!;
+  t.is(announcement.instance, 'a');
+  const counts = shares(target => {
+    const fails = target.announcement.instance === 'a';
+    target.ended(undefined, fails ? 500 : 200);
+  });
+  t.true((counts['a'] ?? 0) <= 2, JSON.stringify(counts));
+});
+
+test('an instance is ejected after consecutive failures unless it is the only one', t => {
+  const {choose, shares} = setUp(['a', 'b']);
+  shares(target => {
+    const fails = target.announcement.instance === 'a';
+    target.ended(fails ? requestCodes.upstreamLost : undefined, 200);
+  });
+  const alone = setUp(['a']);
+  alone.shares(target => target.ended(requestCodes.upstreamLost, 0));
+  t.is(alone.choose()!.announcement.instance, 'a');
+  t.is(choose()!.announcement.instance, 'b');
+});
+
+test('a retry prefers an instance that was not tried', t => {
+  const {choose} = setUp(['a', 'b']);
+  t.is(choose(stockConfiguration, ['a'])!.announcement.instance, 'b');
+  t.truthy(choose(stockConfiguration, ['a', 'b']));
+});
+
+// With a single load for all calls, small calls would avoid an instance with
+// free slots whose link is full, or large calls would be sent to a full link.
+test('a gate that is only full for large calls still gets small ones', t => {
+  const {choose, shares} = setUp(['a', 'b']);
+  const chooseLarge = (tried: string[] = []) =>
+    choose(stockConfiguration, tried, 'large')!;
+  chooseLarge(['b']).updateLoad(3);
+  choose(stockConfiguration, ['a'])!.updateLoad(1);
+  t.is(shares()['a'], 100);
+  for (let call = 0; call < 20; call++) {
+    t.is(chooseLarge().announcement.instance, 'b');
+  }
+});
