--- a/src/node/code-warm-up.ts
+++ b/src/node/code-warm-up.ts
@@ -20,8 +20,8 @@
 import {createSilentLog} from '../log/log.js';
 import type {Random} from '../random/random.js';
 import type {CallerProtocol} from '../request/transport/caller-protocol.js';
-import {createConnections} from '../request/transport/connections.js';
-import type {Connections} from '../request/transport/connections.js';
+import {createConnectionPool} from '../request/transport/connection-pool.js';
+import type {ConnectionPool} from '../request/transport/connection-pool.js';
 import {createEntry} from '../request/entry.js';
 import {createGate} from '../request/gate.js';
 import {createGateServer} from '../request/transport/gate-server.js';
@@ -98,7 +98,7 @@
   const gate = await createSampleGate(options, upstream.address);
   const entry = createSampleEntry(options, gate.address);
   await entry.listen();
-  const connections = createConnections({
+  const connections = createConnectionPool({
     address: entry.address,
     limit: concurrency,
     timers: options.timers,
@@ -152,7 +152,7 @@
     headerLimit,
     bodyLimit: headerLimit,
     bodyIdle: 1_000,
-    grace: 0,
+    gracePeriod: 0,
     ...(callers !== undefined && {foreign: callers.foreign}),
     timers,
     log,
@@ -191,19 +191,19 @@
     endpoints: {instances: () => [announcement], onChange: () => {}},
     headerLimit,
     bodyLimit: headerLimit,
-    grace: 0,
+    gracePeriod: 0,
     callerService: name,
     ...(callers !== undefined && {protocol: callers}),
     timers,
     random,
     log,
-    peers: {onAttempt: attempt => reportAttempt(metrics, attempt)},
+    instancePool: {onAttempt: attempt => reportAttempt(metrics, attempt)},
     onOutcome: outcome => reportOutcome(metrics, configuration, outcome),
   });
 }
 
 async function sendAll(
-  connections: Connections,
+  connections: ConnectionPool,
   options: CodeWarmUpOptions,
 ): Promise<number> {
   let sent = 0;
@@ -221,7 +221,7 @@
 
 /** Sends one request; tells whether an answer came whole. */
 function send(
-  connections: Connections,
+  connections: ConnectionPool,
   number: number,
   traffic: SampleTraffic | undefined,
 ): Promise<boolean> {
--- a/src/node/link-share.ts
+++ b/src/node/link-share.ts
@@ -7,16 +7,16 @@
 import {
   answerRateOf,
   bodyRateOf,
-  createPace,
-} from '../request/transport/pace.js';
-import type {Pace} from '../request/transport/pace.js';
+  createUploadPacer,
+} from '../request/transport/pacing.js';
+import type {UploadPacer} from '../request/transport/pacing.js';
 import type {NodeSettings} from '../settings/schema.js';
 import type {Timers} from '../time/timers.js';
 
 /** The shares of the link in and of the link out, which don't share a rate. */
 export interface LinkShare {
   /** How fast they are read together. */
-  readonly pace: Pace;
+  readonly pace: UploadPacer;
   /** How many uploads the gate takes in at once. */
   readonly places: number;
   /** The way out for the answers that it sends. */
@@ -35,7 +35,7 @@
   const answerRate = answerRateOf(linkRate);
   const egressQueue = createEgressQueue({rate: answerRate, timers});
   return {
-    pace: createPace(rate, timers),
+    pace: createUploadPacer(rate, timers),
     places: placesFor(rate),
     egressQueue,
     reservations: createEgressReservations({
--- a/src/node/request-path.ts
+++ b/src/node/request-path.ts
@@ -51,7 +51,7 @@
   const {timers, random, log} = options.process;
   const {pace, egressQueue} = options.linkShare ?? {};
   const gateServer = createGateServer({
-    pace,
+    uploadPacer: pace,
     egressQueue,
     address: settings.gateAddress,
     gate,
@@ -63,7 +63,7 @@
     log,
   });
   const entry = createEntry({
-    pace,
+    uploadPacer: pace,
     egressQueue,
     name: settings.name,
     failureDomain: settings.failureDomain,
@@ -76,14 +76,14 @@
     headerLimit: settings.headerLimit,
     bodyLimit: settings.bodyLimit,
     bodyIdle: defaults.bodyIdle,
-    grace: settings.stopGrace,
+    gracePeriod: settings.stopGrace,
     callerService: settings.callerService,
     ...(parts.callers !== undefined && {protocol: parts.callers}),
     loopDelay: options.loopDelay,
     timers,
     random,
     log,
-    peers: {
+    instancePool: {
       retryBudget: settings.retryBudget,
       onAttempt: attempt => reportAttempt(metrics, attempt),
       onUnreachable: ({instance, incarnation}) =>
--- a/src/node/upstream-gate.ts
+++ b/src/node/upstream-gate.ts
@@ -80,8 +80,8 @@
     undrain() {
       gate?.undrain();
     },
-    review() {
-      gate?.review();
+    recheckConfiguration() {
+      gate?.recheckConfiguration();
     },
     async stop(deadline) {
       stopping = true;
--- a/src/request/fakes/configurations.ts
+++ b/src/request/fakes/configurations.ts
@@ -35,7 +35,7 @@
 }
 
 /** What a test's configuration holds. */
-export interface Parts {
+export interface ConfigurationParts {
   readonly version?: number;
   readonly services?: readonly Service[];
   readonly routes?: readonly Route[];
@@ -45,7 +45,7 @@
 }
 
 /** A configuration of the given parts. */
-export function configurationOf(parts: Parts): Configuration {
+export function configurationOf(parts: ConfigurationParts): Configuration {
   return {
     version: parts.version ?? 1,
     services: byName(parts.services ?? []),
--- a/src/request/fakes/fake-claims.ts
+++ b/src/request/fakes/fake-claims.ts
@@ -7,11 +7,11 @@
 } from '../../claims/claims.js';
 import {requestCodes} from '../messages/codes.js';
 
-type Held = 'running' | 'abandoned' | StoredAnswer;
+type ClaimState = 'running' | 'abandoned' | StoredAnswer;
 
 /** Claims kept in memory; `remembers: false` shows what happens without them. */
-export function createFakeClaims(remembers = true): Claims {
-  const held = new Map<string, Held>();
+export function createFakeClaims(isStored = true): Claims {
+  const held = new Map<string, ClaimState>();
 
   function claimOf(key: string): Claim {
     return {
@@ -23,7 +23,7 @@
 
   return new (class extends Claims {
     async acquire({key}: ClaimRequest): Promise<Acquisition> {
-      const before = remembers ? held.get(key) : undefined;
+      const before = isStored ? held.get(key) : undefined;
       if (before === undefined) {
         held.set(key, 'running');
         return {kind: 'granted', claim: claimOf(key)};
--- a/src/request/fakes/mesh.ts
+++ b/src/request/fakes/mesh.ts
@@ -92,7 +92,7 @@
     gate: options.sameNode === true ? members[0]!.gate : undefined,
     headerLimit,
     bodyLimit,
-    grace,
+    gracePeriod: grace,
     timers,
     random: createRandom(1),
     log,
@@ -106,8 +106,8 @@
     timers,
     url: `http://${entry.address}`,
     close: async () => {
-      await passTime(timers, entry.stop(0));
-      await passTime(timers, Promise.all(members.map(closeMember)));
+      await advanceUntilDone(timers, entry.stop(0));
+      await advanceUntilDone(timers, Promise.all(members.map(closeMember)));
     },
   };
 }
@@ -139,7 +139,7 @@
     headerLimit,
     bodyLimit,
     bodyIdle: 10_000,
-    grace,
+    gracePeriod: grace,
     timers,
     log,
     safeguards: options.gateSafeguards,
@@ -149,7 +149,7 @@
 }
 
 /** Moves time on until `work` is done. */
-export async function passTime(
+export async function advanceUntilDone(
   timers: FakeTimers,
   work: Promise<unknown>,
 ): Promise<void> {
--- a/src/request/link-out.test.ts
+++ b/src/request/outgoing-link.test.ts
@@ -14,7 +14,7 @@
 import {createFramedGate} from './transport/framed-gate.js';
 import type {CallFrame, EntryFrame, GateFrame} from './transport/frames.js';
 import {createEgressQueue} from './transport/egress-queue.js';
-import {answerRateOf} from './transport/pace.js';
+import {answerRateOf} from './transport/pacing.js';
 
 const megabits = 12.6;
 const linkRate = (megabits * 1e6) / 8;
--- a/src/request/transport/egress-queue.ts
+++ b/src/request/transport/egress-queue.ts
@@ -7,8 +7,8 @@
 import {Answer, answerTurn, largeAnswer} from '../messages/answer.js';
 import type {AnswerHead, Refusal} from '../messages/call.js';
 import type {Subscription, Timers} from '../../time/timers.js';
-import {createMeter} from './pace.js';
-import type {Meter} from './pace.js';
+import {createTokenBucket} from './pacing.js';
+import type {TokenBucket} from './pacing.js';
 import {createRateAverage} from './rate-average.js';
 import type {RateAverage} from './rate-average.js';
 
@@ -42,7 +42,7 @@
 const partSize = 8 * 1024;
 
 /** Bytes that each answer may have waiting, however many others wait. */
-const window = 64 * 1024;
+const perAnswerLimit = 64 * 1024;
 
 /**
  * Bytes that all answers may have waiting together. Up to there the upstream is
@@ -51,9 +51,9 @@
 const readAhead = 1024 * 1024;
 
 /** The part of an egress queue that its answers share. */
-interface Turns {
-  readonly meter: Meter;
-  readonly small: RateAverage;
+interface SharedQueue {
+  readonly bucket: TokenBucket;
+  readonly smallAnswerRate: RateAverage;
   /** Large answers under way, the one whose turn it is first. */
   readonly answers: Set<EgressAnswer>;
   /** Bytes that wait, for the link or for their receivers. */
@@ -69,9 +69,9 @@
 }: EgressQueueOptions): EgressQueue {
   let next: Subscription | undefined;
   let isPumping = false;
-  const turns: Turns = {
-    meter: createMeter(rate, timers, burst),
-    small: createRateAverage(timers),
+  const queue: SharedQueue = {
+    bucket: createTokenBucket(rate, timers, burst),
+    smallAnswerRate: createRateAverage(timers),
     answers: new Set(),
     held: 0,
     pump,
@@ -88,7 +88,7 @@
     for (;;) {
       const ready = findReady();
       if (ready === undefined) return;
-      const wait = turns.meter.wait();
+      const wait = queue.bucket.wait();
       if (wait > 0) {
         next = timers.after(wait, () => {
           next = undefined;
@@ -97,12 +97,12 @@
         return;
       }
       ready.sendPart();
-      for (const answer of turns.answers) answer.callForMore();
+      for (const answer of queue.answers) answer.resumeSender();
     }
   }
 
   function findReady(): EgressAnswer | undefined {
-    for (const answer of turns.answers) {
+    for (const answer of queue.answers) {
       if (answer.isReady) return answer;
     }
     return undefined;
@@ -111,20 +111,20 @@
   return {
     get waiting() {
       let bytes = 0;
-      for (const answer of turns.answers) bytes += answer.waiting;
+      for (const answer of queue.answers) bytes += answer.waiting;
       return bytes;
     },
     get taken() {
-      return turns.small.rate();
+      return queue.smallAnswerRate.rate();
     },
-    to: answer => new EgressAnswer(answer, turns),
+    to: answer => new EgressAnswer(answer, queue),
   };
 }
 
 /** An answer that takes its turn once it has grown large. */
 class EgressAnswer extends QueuedAnswer {
   /** Bytes that passed at once. */
-  private passed = 0;
+  private unqueuedBytes = 0;
   private isLarge = false;
   private readonly parts: Buffer[] = [];
   private held = 0;
@@ -138,7 +138,7 @@
 
   constructor(
     private readonly answer: Answer,
-    private readonly turns: Turns,
+    private readonly queue: SharedQueue,
   ) {
     super();
   }
@@ -162,18 +162,18 @@
 
   write(chunk: Buffer): boolean {
     if (this.isOver) return true;
-    if (!this.isLarge && this.passed + chunk.length < largeAnswer) {
-      this.passed += chunk.length;
-      this.turns.meter.spend(chunk.length);
-      this.turns.small.add(chunk.length);
+    if (!this.isLarge && this.unqueuedBytes + chunk.length < largeAnswer) {
+      this.unqueuedBytes += chunk.length;
+      this.queue.bucket.consume(chunk.length);
+      this.queue.smallAnswerRate.add(chunk.length);
       return this.answer.write(chunk);
     }
-    if (!this.isLarge) this.grow();
-    this.turns.answers.add(this);
+    if (!this.isLarge) this.markLarge();
+    this.queue.answers.add(this);
     this.parts.push(chunk);
     this.held += chunk.length;
-    this.turns.held += chunk.length;
-    this.turns.pump();
+    this.queue.held += chunk.length;
+    this.queue.pump();
     return this.hasRoom();
   }
 
@@ -188,18 +188,18 @@
   }
 
   refuse(refusal: Refusal): void {
-    this.letGo();
+    this.releaseParts();
     this.answer.refuse(refusal);
   }
 
   cut(): void {
-    this.letGo();
+    this.releaseParts();
     this.answer.cut();
   }
 
   drop(): void {
     const {resume} = this;
-    this.letGo();
+    this.releaseParts();
     // Work that goes on without its caller must not wait for it either.
     resume?.();
   }
@@ -208,8 +208,8 @@
   sendPart(): void {
     const part = this.takePart();
     this.held -= part.length;
-    this.turns.held -= part.length;
-    this.turns.meter.spend(part.length);
+    this.queue.held -= part.length;
+    this.queue.bucket.consume(part.length);
     if (!this.answer.write(part)) this.block();
     this.sent += part.length;
     if (this.held === 0 && this.isWhole) this.finish();
@@ -217,7 +217,7 @@
   }
 
   /** Has its sender go on once there is room for more. */
-  callForMore(): void {
+  resumeSender(): void {
     const {resume} = this;
     if (resume === undefined || !this.hasRoom()) return;
     this.resume = undefined;
@@ -225,13 +225,13 @@
   }
 
   /** It is no small answer after all. */
-  private grow(): void {
+  private markLarge(): void {
     this.isLarge = true;
-    this.turns.small.add(-this.passed);
+    this.queue.smallAnswerRate.add(-this.unqueuedBytes);
   }
 
   private hasRoom(): boolean {
-    return this.turns.held < readAhead || this.held < window;
+    return this.queue.held < readAhead || this.held < perAnswerLimit;
   }
 
   private takePart(): Buffer {
@@ -244,29 +244,29 @@
   /** Goes behind the others; an answer without an end would keep them waiting. */
   private endTurn(): void {
     this.sent = 0;
-    this.turns.answers.delete(this);
-    this.turns.answers.add(this);
+    this.queue.answers.delete(this);
+    this.queue.answers.add(this);
   }
 
   private block(): void {
     this.isBlocked = true;
     this.answer.onDrain(() => {
       this.isBlocked = false;
-      this.turns.pump();
+      this.queue.pump();
     });
   }
 
-  private letGo(): void {
+  private releaseParts(): void {
     this.isOver = true;
-    this.turns.held -= this.held;
+    this.queue.held -= this.held;
     this.held = 0;
     this.parts.length = 0;
     this.resume = undefined;
-    this.turns.answers.delete(this);
+    this.queue.answers.delete(this);
   }
 
   private finish(): void {
-    this.letGo();
+    this.releaseParts();
     this.answer.end();
   }
 }
--- a/src/request/transport/framed-call.ts
+++ b/src/request/transport/framed-call.ts
@@ -6,8 +6,8 @@
 import {delayUntil} from '../../time/deadline.js';
 import type {FramedLink, FrameReceiver} from './framed-link.js';
 import type {CallFrame} from './frames.js';
-import {codeOf, decisionMargin, reasonOf, timeLeft} from './gate-call.js';
-import {endToEnd} from './headers.js';
+import {codeOf, decisionMargin, refusalForFailure, timeLeft} from './gate-call.js';
+import {endToEndHeaders} from './headers.js';
 import type {Call, Cancel} from '../messages/call.js';
 import type {GateTarget} from '../messages/hops.js';
 import {refusal} from '../messages/refusal.js';
@@ -27,7 +27,7 @@
 }
 
 /** Makes the call. */
-export function callByLink(options: FramedCallOptions): Cancel {
+export function callOverLink(options: FramedCallOptions): Cancel {
   const {call, peer, answer, link, timers, safeguards, foreign} = options;
   let isStarted = false;
   let isBegun = false;
@@ -36,7 +36,7 @@
     head: ({status, reason, headers, load}) => {
       peer.loaded(load);
       isStarted = true;
-      answer.start({status, reason, headers: endToEnd(headers, {foreign})});
+      answer.start({status, reason, headers: endToEndHeaders(headers, {foreign})});
     },
     data: chunk => {
       if (answer.write(chunk)) return true;
@@ -66,7 +66,7 @@
   function fail(error: Error, began: boolean): void {
     limit.cancel();
     if (isStarted) answer.cut();
-    else answer.refuse(reasonOf(error, began && safeguards.doubt));
+    else answer.refuse(refusalForFailure(error, began && safeguards.doubt));
   }
 
   function write(number: number): CallFrame {
--- a/src/request/transport/framed-gate.ts
+++ b/src/request/transport/framed-gate.ts
@@ -40,22 +40,22 @@
 }
 
 /** One call under way at this gate. */
-interface Work {
+interface ActiveCall {
   cancel: Cancel;
   taken(bytes: number): void;
 }
 
 /** One link and its calls. */
-interface Served {
+interface EntryLink {
   readonly link: SocketLink;
-  readonly calls: Map<number, Work>;
+  readonly calls: Map<number, ActiveCall>;
   /** Calls that came in this turn of the loop and begin in the next. */
   readonly arrived: Map<number, CallFrame>;
-  heardAt: number;
+  lastReceivedAt: number;
 }
 
 /** Milliseconds without a word after which an entry's link is let go of. */
-const longestSilence = 90_000;
+const maxSilence = 90_000;
 /** Milliseconds between two looks for such links. */
 const sweepPeriod = 30_000;
 
@@ -65,38 +65,38 @@
 /** Creates the gate's end; links are handed to it as they open. */
 export function createFramedGate(options: FramedGateOptions): FramedGate {
   const {gate, timers, safeguards} = options;
-  const served = new Set<Served>();
+  const entryLinks = new Set<EntryLink>();
   const sweeping = timers.every(sweepPeriod, sweep);
-  let isPastGrace = false;
+  let isGracePeriodOver = false;
 
   /** An entry without power never closes; its link would be kept for good. */
   function sweep(): void {
-    const oldest = timers.now() - longestSilence;
-    for (const one of served) {
-      if (one.heardAt < oldest && isFree(one)) one.link.close();
+    const oldest = timers.now() - maxSilence;
+    for (const one of entryLinks) {
+      if (one.lastReceivedAt < oldest && isFree(one)) one.link.close();
     }
   }
 
   function accept(link: SocketLink): void {
-    const own: Served = {
+    const own: EntryLink = {
       link,
       calls: new Map(),
       arrived: new Map(),
-      heardAt: timers.now(),
+      lastReceivedAt: timers.now(),
     };
-    served.add(own);
+    entryLinks.add(own);
     link.onMessage(message => {
-      own.heardAt = timers.now();
+      own.lastReceivedAt = timers.now();
       take(own, message as EntryFrame);
     });
     link.onClose(() => {
-      served.delete(own);
+      entryLinks.delete(own);
       own.arrived.clear();
       for (const {cancel} of [...own.calls.values()]) cancel();
     });
   }
 
-  function take(own: Served, frame: EntryFrame): void {
+  function take(own: EntryLink, frame: EntryFrame): void {
     switch (frame.type) {
       case 'call':
         return arrive(own, frame);
@@ -114,18 +114,18 @@
    * Begins in the next turn: after this process was held up, a call and its
    * `cancel` are read together, and would otherwise be run for nobody.
    */
-  function arrive(own: Served, frame: CallFrame): void {
+  function arrive(own: EntryLink, frame: CallFrame): void {
     if (own.arrived.size === 0) setImmediate(() => beginArrived(own));
     own.arrived.set(frame.call, frame);
   }
 
-  function beginArrived(own: Served): void {
+  function beginArrived(own: EntryLink): void {
     const frames = [...own.arrived.values()];
     own.arrived.clear();
     for (const frame of frames) begin(own, frame);
   }
 
-  function begin(own: Served, frame: CallFrame): void {
+  function begin(own: EntryLink, frame: CallFrame): void {
     const framed = createFramedAnswer(frame.call, {
       send: message => send(own, message),
       load: () => gate.loadOf(frame.policy),
@@ -133,7 +133,7 @@
     });
     const queued = options.egressQueue?.to(framed);
     const answer = queued ?? framed;
-    const work: Work = {cancel: () => {}, taken: framed.taken};
+    const work: ActiveCall = {cancel: () => {}, taken: framed.taken};
     own.calls.set(frame.call, work);
     if (safeguards.instanceCheck && !isForGate(frame)) {
       return answer.refuse(refusal(requestCodes.wrongInstance));
@@ -158,9 +158,9 @@
     }
   }
 
-  function ended(own: Served, call: number): void {
+  function ended(own: EntryLink, call: number): void {
     own.calls.delete(call);
-    if (isPastGrace) closeFree();
+    if (isGracePeriodOver) closeFree();
   }
 
   /**
@@ -173,7 +173,7 @@
 
   /** An entry that has gone silent closes no link; it must not hold up the stop. */
   function closeFree(): void {
-    for (const one of served) {
+    for (const one of entryLinks) {
       if (!isFree(one)) continue;
       one.link.close();
       timers.after(closeTime, () => one.link.destroy());
@@ -183,30 +183,30 @@
   return {
     get unsent() {
       let bytes = 0;
-      for (const {link} of served) bytes += link.pending;
+      for (const {link} of entryLinks) bytes += link.pending;
       return bytes;
     },
     accept,
     stop: (grace, deadline) => {
       sweeping.cancel();
-      for (const one of served) send(one, {type: 'leaving'});
+      for (const one of entryLinks) send(one, {type: 'leaving'});
       const closing = timers.after(Math.min(grace, deadline), () => {
-        isPastGrace = true;
+        isGracePeriodOver = true;
         closeFree();
       });
       timers.after(deadline, () => {
         closing.cancel();
-        for (const {link} of served) link.destroy();
+        for (const {link} of entryLinks) link.destroy();
       });
     },
   };
 }
 
-function send({link}: Served, frame: GateFrame): void {
+function send({link}: EntryLink, frame: GateFrame): void {
   link.send(frame);
 }
 
-function isFree({calls, arrived}: Served): boolean {
+function isFree({calls, arrived}: EntryLink): boolean {
   return calls.size === 0 && arrived.size === 0;
 }
 
--- a/src/request/transport/framed-link.ts
+++ b/src/request/transport/framed-link.ts
@@ -11,7 +11,7 @@
 import {answerWindow} from './frames.js';
 import type {EntryFrame, GateFrame} from './frames.js';
 import {upgradeToLink} from './link-upgrade.js';
-import type {LinkUpgradeOptions, Unopened} from './link-upgrade.js';
+import type {LinkUpgradeOptions, OpeningFailure} from './link-upgrade.js';
 
 /** Hears what a gate says about one call. */
 export abstract class FrameReceiver {
@@ -42,7 +42,7 @@
 }
 
 /** A call as its caller makes it; told when it is written. */
-export type WriteCall = (call: number) => EntryFrame & {type: 'call'};
+export type CallFrameBuilder = (call: number) => EntryFrame & {type: 'call'};
 
 /** The link to one gate. */
 export interface FramedLink {
@@ -50,9 +50,9 @@
   readonly calls: number;
   /** Whether new calls may be sent on it. */
   readonly isUsable: boolean;
-  send(write: WriteCall, receiver: FrameReceiver): FramedCall;
+  send(write: CallFrameBuilder, receiver: FrameReceiver): FramedCall;
   /** Looks whether the gate is still there; to be called each `lookPeriod`. */
-  look(): void;
+  check(): void;
   /** Closes it; calls under way are lost. */
   close(): void;
 }
@@ -63,23 +63,23 @@
 }
 
 /** Milliseconds between two looks at a link. */
-export const lookPeriod = 250;
+export const checkPeriod = 250;
 
 /**
  * Milliseconds without a word of a gate that owes an answer to a ping. A link
  * may go silent for good without a reset; calls on it would be held until their
  * deadlines. A gate that is only busy answers within a few tens.
  */
-const longestSilence = 1000;
+const maxSilence = 1000;
 
 /** Largest frame of a gate: a part of an answer and its wrapping. */
 const messageLimit = 1024 * 1024;
 
 /** Bytes taken after which a gate hears of it. */
-const takenStep = answerWindow / 4;
+const takenReportStep = answerWindow / 4;
 
-interface Pending {
-  readonly write: WriteCall;
+interface PendingCall {
+  readonly write: CallFrameBuilder;
   readonly receiver: FrameReceiver;
   began: boolean;
   /** Bytes taken that the gate has not heard of. */
@@ -91,12 +91,12 @@
 /** Opens a link; calls wait until it is open. */
 export function openFramedLink(options: FramedLinkOptions): FramedLink {
   const {timers, log, address} = options;
-  const pending = new Map<number, Pending>();
-  const watch = createSilenceWatch(timers, lookPeriod, longestSilence);
+  const pending = new Map<number, PendingCall>();
+  const watch = createSilenceWatch(timers, checkPeriod, maxSilence);
   let link: SocketLink | undefined;
   let isUsable = true;
   let lastCall = 0;
-  let heardAt = 0;
+  let lastReceivedAt = 0;
 
   const opening = upgradeToLink(options, result => {
     if (result.kind !== 'open') return fail(result);
@@ -108,14 +108,14 @@
     });
     link.onClose(() => failBecause('the gate closed the link'));
     link.onMessage(message => {
-      hear();
+      recordActivity();
       take(message as GateFrame);
     });
-    hear();
+    recordActivity();
     for (const [call, one] of pending) begin(call, one);
   });
 
-  function fail(result: Unopened): void {
+  function fail(result: OpeningFailure): void {
     isUsable = false;
     const lost = [...pending.values()];
     pending.clear();
@@ -129,12 +129,12 @@
     fail({kind: 'failed', error: new Error(message)});
   }
 
-  function hear(): void {
-    heardAt = timers.now();
+  function recordActivity(): void {
+    lastReceivedAt = timers.now();
     watch.hear();
   }
 
-  function begin(call: number, one: Pending): void {
+  function begin(call: number, one: PendingCall): void {
     one.began = true;
     link!.send(one.write(call));
   }
@@ -153,17 +153,17 @@
     else one.receiver.refused(frame);
   }
 
-  function takeData(call: number, one: Pending, chunk: Buffer): void {
+  function takeData(call: number, one: PendingCall, chunk: Buffer): void {
     if (!one.receiver.data(chunk)) {
       one.waiting += chunk.length;
       return;
     }
-    tellTaken(call, one, chunk.length);
+    reportTaken(call, one, chunk.length);
   }
 
-  function tellTaken(call: number, one: Pending, bytes: number): void {
+  function reportTaken(call: number, one: PendingCall, bytes: number): void {
     one.taken += bytes;
-    if (one.taken < takenStep) return;
+    if (one.taken < takenReportStep) return;
     link?.send({type: 'taken', call, bytes: one.taken});
     one.taken = 0;
   }
@@ -189,7 +189,7 @@
     send: (write, receiver) => {
       const call = ++lastCall;
       // Nothing was owed until now; silence counts from here.
-      if (pending.size === 0) hear();
+      if (pending.size === 0) recordActivity();
       const one = {write, receiver, began: false, taken: 0, waiting: 0};
       pending.set(call, one);
       if (link !== undefined) begin(call, one);
@@ -197,7 +197,7 @@
         taken: () => {
           const {waiting} = one;
           one.waiting = 0;
-          tellTaken(call, one, waiting);
+          reportTaken(call, one, waiting);
         },
         cancel: () => {
           if (pending.get(call) !== one) return;
@@ -206,16 +206,16 @@
         },
       };
     },
-    look: () => {
+    check: () => {
       const hearing = watch.look();
       if (pending.size === 0 || link === undefined) return;
       if (hearing === 'silent') {
         log.warn('gate link silent', {gate: address, calls: pending.size});
-        failBecause(`nothing heard for ${longestSilence} ms`);
+        failBecause(`nothing heard for ${maxSilence} ms`);
         link.destroy();
         return;
       }
-      const isQuiet = timers.now() - heardAt >= lookPeriod;
+      const isQuiet = timers.now() - lastReceivedAt >= checkPeriod;
       if (isQuiet) link.send({type: 'ping'});
     },
     close: () => {
--- a/src/request/transport/gate-call.ts
+++ b/src/request/transport/gate-call.ts
@@ -37,7 +37,7 @@
 );
 
 /** Why a call has failed; `began` tells whether the gate may have read it. */
-export function reasonOf(error: Error, began: boolean): Refusal {
+export function refusalForFailure(error: Error, began: boolean): Refusal {
   if (!began) return refusal(requestCodes.gateUnreachable, error.message);
   if (error instanceof Failure && error.code.effect === 'unknown') {
     return refusal(error.code, error.message);
--- a/src/request/transport/http-call.ts
+++ b/src/request/transport/http-call.ts
@@ -7,16 +7,16 @@
 import type {Subscription, Timers} from '../../time/timers.js';
 import type {Answer} from '../messages/answer.js';
 import {requestCodes} from '../messages/codes.js';
-import type {Connections} from './connections.js';
+import type {ConnectionPool} from './connection-pool.js';
 import {delayUntil} from '../../time/deadline.js';
-import {codeOf, decisionMargin, reasonOf, timeLeft} from './gate-call.js';
-import {endToEnd, findHeader, headerNames} from './headers.js';
+import {codeOf, decisionMargin, refusalForFailure, timeLeft} from './gate-call.js';
+import {endToEndHeaders, findHeader, headerNames} from './headers.js';
 import type {Call, Cancel, Refusal} from '../messages/call.js';
 import type {GateTarget, Sending} from '../messages/hops.js';
 import {refusal} from '../messages/refusal.js';
 import type {Safeguards} from '../messages/safeguards.js';
-import {send} from './sending.js';
-import type {Receiver} from './sending.js';
+import {sendRequest} from './sending.js';
+import type {ResponseReceiver} from './sending.js';
 
 const millisecondsPerSecond = 1000;
 
@@ -26,21 +26,21 @@
   readonly bodyLimit: number;
   readonly peer: GateTarget;
   readonly answer: Answer;
-  readonly link: Connections;
+  readonly link: ConnectionPool;
   readonly timers: Timers;
   readonly safeguards: Safeguards;
   readonly foreign: ReadonlySet<string> | undefined;
 }
 
 /** Makes the call. */
-export function callByHttp(options: HttpCall): Cancel {
+export function callOverHttp(options: HttpCall): Cancel {
   const {call, peer, answer, timers, safeguards, foreign} = options;
   let limit: Subscription | undefined;
   let refused = false;
   let started = false;
   let ended = false;
 
-  const receiver: Receiver = {
+  const receiver: ResponseReceiver = {
     began: () => {},
     // The gate tells that the work was admitted; the upload may go on.
     interim: () => answer.admit(),
@@ -54,7 +54,7 @@
         return;
       }
       started = true;
-      answer.start({status, reason, headers: endToEnd(raw, {foreign})});
+      answer.start({status, reason, headers: endToEndHeaders(raw, {foreign})});
     },
     data: chunk => {
       if (refused || answer.write(chunk)) return true;
@@ -69,7 +69,7 @@
       end();
       if (refused) return;
       if (started) answer.cut();
-      else answer.refuse(reasonOf(error, began && safeguards.doubt));
+      else answer.refuse(refusalForFailure(error, began && safeguards.doubt));
     },
   };
 
@@ -80,7 +80,7 @@
 
   const {method, path, body} = call;
   const headers = headersOf(options);
-  const sending: Sending | undefined = send(
+  const sending: Sending | undefined = sendRequest(
     options.link,
     {method, path, headers, body},
     receiver,
--- a/src/request/transport/link-upgrade.ts
+++ b/src/request/transport/link-upgrade.ts
@@ -23,18 +23,18 @@
 const upgradeTimeout = 1000;
 
 /** Why there is no link. */
-export type Unopened =
+export type OpeningFailure =
   | {readonly kind: 'failed'; readonly error: Error}
   | {readonly kind: 'unsupported'};
 
 /** What became of the opening of a link. */
-export type Opening =
-  {readonly kind: 'open'; readonly socket: Socket} | Unopened;
+export type OpeningResult =
+  {readonly kind: 'open'; readonly socket: Socket} | OpeningFailure;
 
 /** Connects and asks for a framed link; `done` is called once. */
 export function upgradeToLink(
   options: LinkUpgradeOptions,
-  done: (opening: Opening) => void,
+  done: (opening: OpeningResult) => void,
 ): Subscription {
   const {timers, connectTimeout} = options;
   const {host, port} = parseAddress(options.address);
@@ -44,7 +44,7 @@
     socket.destroy(new Error(`no connection in ${connectTimeout} ms`)),
   );
 
-  function finish(opening: Opening): void {
+  function finish(opening: OpeningResult): void {
     if (isDone) return;
     isDone = true;
     limit.cancel();
--- a/src/request/transport/listener.test.ts
+++ b/src/request/transport/listener.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
 import {request} from 'undici';
 import {createTimers} from '../../time/timers.js';
-import {createMesh, passTime} from '../fakes/mesh.js';
+import {createMesh, advanceUntilDone} from '../fakes/mesh.js';
 import type {Mesh} from '../fakes/mesh.js';
 import {openRaw, readAll, sendRaw} from '../fakes/raw-client.js';
 import {createListener} from './listener.js';
@@ -83,7 +83,7 @@
     mesh.entry.address,
     `POST /bookings HTTP/1.1\r\n${host}${close}content-length: 9\r\n\r\nbo`,
   );
-  await passTime(mesh.timers, stalled);
+  await advanceUntilDone(mesh.timers, stalled);
   const answer = await stalled;
   t.regex(answer.text, /foxbarrow-code: 5019/);
   t.regex(answer.text, /foxbarrow-effect: not-run/);
@@ -126,7 +126,7 @@
   const listener = createListener({
     address: '127.0.0.1:0',
     headerLimit: 1024,
-    grace: 1,
+    gracePeriod: 1,
     timers: createTimers(),
     handle: async (req, res) => {
       if (req.url === '/fault') throw new Error('fault');
@@ -160,7 +160,7 @@
         else finish = () => res.end(`got ${size}`);
       },
     ],
-    entry: {grace},
+    entry: {gracePeriod: grace},
   });
   return {mesh, finish: () => finish()};
 }
--- a/src/request/transport/pace.test.ts
+++ b/src/request/transport/pacing.test.ts
@@ -1,11 +1,11 @@
 import test from 'ava';
 import {createFakeTimers} from '../../time/fakes/fake-timers.js';
-import {bodyRateOf, createPace} from './pace.js';
+import {bodyRateOf, createUploadPacer} from './pacing.js';
 
 /** Reads of 16 KiB for `duration` milliseconds by `readers` at once; bytes read. */
 async function read(readers: number, duration: number): Promise<number> {
   const timers = createFakeTimers();
-  const pace = createPace(bodyRateOf(10), timers);
+  const pace = createUploadPacer(bodyRateOf(10), timers);
   const part = 16 * 1024;
   let bytes = 0;
   async function loop(): Promise<void> {
@@ -31,7 +31,7 @@
 
 test('a body that comes alone after a pause is not held up', async t => {
   const timers = createFakeTimers();
-  const pace = createPace(bodyRateOf(10), timers);
+  const pace = createUploadPacer(bodyRateOf(10), timers);
   await pace.take(64 * 1024);
   timers.advance(1000);
   await pace.take(64 * 1024);
--- a/src/request/transport/pace.ts
+++ b/src/request/transport/pacing.ts
@@ -8,17 +8,17 @@
 import type {Timers} from '../../time/timers.js';
 
 /** The pace of all bodies of one process. */
-export interface Pace {
+export interface UploadPacer {
   /** Resolves once so many more bytes may be read. */
   take(bytes: number): Promise<void>;
 }
 
 /** Counts bytes against a rate. */
-export interface Meter {
+export interface TokenBucket {
   /** Milliseconds until more bytes may pass; 0 or less for none. */
   wait(): number;
   /** So many bytes pass, whether they had to wait or not. */
-  spend(bytes: number): void;
+  consume(bytes: number): void;
 }
 
 const bitsPerByte = 8;
@@ -56,13 +56,13 @@
 const burst = 50;
 
 /** Creates a meter of `rate` bytes a second with so many milliseconds' burst. */
-export function createMeter(rate: number, clock: Clock, burst: number): Meter {
+export function createTokenBucket(rate: number, clock: Clock, burst: number): TokenBucket {
   /** When all that was let through would have come at the rate. */
   let paidUntil = Number.NEGATIVE_INFINITY;
 
   return {
     wait: () => paidUntil - burst - clock.now(),
-    spend: bytes => {
+    consume: bytes => {
       const duration = (bytes / rate) * millisecondsPerSecond;
       paidUntil = Math.max(paidUntil, clock.now()) + duration;
     },
@@ -70,13 +70,13 @@
 }
 
 /** Creates a pace of `rate` bytes a second. */
-export function createPace(rate: number, timers: Timers): Pace {
-  const meter = createMeter(rate, timers, burst);
+export function createUploadPacer(rate: number, timers: Timers): UploadPacer {
+  const meter = createTokenBucket(rate, timers, burst);
 
   return {
     take(bytes) {
       const wait = meter.wait();
-      meter.spend(bytes);
+      meter.consume(bytes);
       if (wait <= 0) return Promise.resolve();
       return new Promise(resolve => void timers.after(wait, resolve));
     },
--- a/src/request/transport/refusal-answer.ts
+++ b/src/request/transport/refusal-answer.ts
@@ -19,7 +19,7 @@
 }
 
 /** What a refusal tells in its body. */
-export function describe(refusal: Refusal): RefusalBody {
+export function refusalBodyOf(refusal: Refusal): RefusalBody {
   const {number, name, effect, meaning} = refusal.code;
   const message =
     refusal.message === meaning ? meaning : `${refusal.message}. ${meaning}`;
@@ -27,11 +27,11 @@
 }
 
 /** A refusal in the product's own form. */
-export function tellRefusal(refusal: Refusal): RefusalAnswer {
+export function formatRefusal(refusal: Refusal): RefusalAnswer {
   return {
     status: refusal.code.status,
     headers: refusalHeaders(refusal),
-    body: JSON.stringify(describe(refusal)),
+    body: JSON.stringify(refusalBodyOf(refusal)),
   };
 }
 
--- a/src/request/transport/upstream-link.ts
+++ b/src/request/transport/upstream-link.ts
@@ -6,15 +6,15 @@
 } from '../messages/hops.js';
 import type {Call} from '../messages/call.js';
 import type {Safeguards} from '../messages/safeguards.js';
-import type {Connections} from './connections.js';
-import {endToEnd} from './headers.js';
-import {send} from './sending.js';
-import type {Receiver} from './sending.js';
+import type {ConnectionPool} from './connection-pool.js';
+import {endToEndHeaders} from './headers.js';
+import {sendRequest} from './sending.js';
+import type {ResponseReceiver} from './sending.js';
 import type {UpstreamProtocol} from './upstream-protocol.js';
 
 /** Options of `createUpstreamLink`. */
 export interface UpstreamLinkOptions {
-  readonly connections: Connections;
+  readonly connections: ConnectionPool;
   readonly protocol: UpstreamProtocol;
   readonly safeguards: Pick<Safeguards, 'framing' | 'internalHeaders'>;
 }
@@ -27,16 +27,16 @@
     foreign: protocol.foreign,
   };
 
-  function translate(call: Call, receiver: UpstreamReceiver): Receiver {
+  function translate(call: Call, receiver: UpstreamReceiver): ResponseReceiver {
     return {
       began: () => receiver.began(),
       interim: () => {},
       head: (status, reason, raw) => {
         const judgement = safeguards.framing
-          ? protocol.judge(call, {status, headers: raw})
+          ? protocol.checkAnswer(call, {status, headers: raw})
           : undefined;
         if (judgement !== undefined) return receiver.unfit(judgement);
-        receiver.head({status, reason, headers: endToEnd(raw, passing)});
+        receiver.head({status, reason, headers: endToEndHeaders(raw, passing)});
       },
       data: chunk => receiver.data(chunk),
       end: () => receiver.end(),
@@ -49,7 +49,7 @@
       const {method, path, body} = call;
       const headers = [...call.headers, ...protocol.headers(call, left)];
       const outgoing = {method, path, headers, body};
-      return send(connections, outgoing, translate(call, receiver));
+      return sendRequest(connections, outgoing, translate(call, receiver));
     },
   };
 }
