--- a/src/request/fakes/calls.ts
+++ b/src/request/fakes/calls.ts
@@ -1,6 +1,9 @@
 import type {Call} from '../messages/call.js';
 
-/** A lookup whose time is up at 5000 ms of fake timers; `changes` go over the defaults. */
+/**
+ * A lookup whose deadline is at 5000 ms of fake timers; `changes` override the
+ * defaults.
+ */
 export function callOf(changes: Partial<Call> = {}): Call {
   return {
     id: 'entry-1',
@@ -17,7 +20,7 @@
   };
 }
 
-/** A booking: it must not run twice. */
+/** A booking, which must not run twice; `changes` override the defaults. */
 export function bookingOf(changes: Partial<Call> = {}): Call {
   return callOf({
     method: 'POST',
--- a/src/request/fakes/configurations.ts
+++ b/src/request/fakes/configurations.ts
@@ -8,7 +8,7 @@
   Service,
 } from '../../configuration/configuration.js';
 
-/** A policy for tests; `changes` go over the defaults. */
+/** A policy for tests; `changes` override the defaults. */
 export function policyOf(changes: Partial<Policy> = {}): Policy {
   return {
     name: 'lookups',
@@ -22,7 +22,7 @@
   };
 }
 
-/** A route for tests; `changes` go over the defaults. */
+/** A route for tests; `changes` override the defaults. */
 export function routeOf(changes: Partial<Route> = {}): Route {
   return {
     name: 'stock',
@@ -34,7 +34,7 @@
   };
 }
 
-/** What a test's configuration holds. */
+/** The contents of a configuration for tests. */
 export interface ConfigurationParts {
   readonly version?: number;
   readonly services?: readonly Service[];
@@ -44,7 +44,7 @@
   readonly quarantines?: readonly Quarantine[];
 }
 
-/** A configuration of the given parts. */
+/** Creates a configuration; absent parts are empty. */
 export function configurationOf(parts: ConfigurationParts): Configuration {
   return {
     version: parts.version ?? 1,
@@ -56,7 +56,7 @@
   };
 }
 
-/** Lookups may be repeated, bookings run once. */
+/** A configuration with idempotent lookups and with bookings that run once. */
 export const stockConfiguration: Configuration = configurationOf({
   services: [{name: 'stock-desk', slowStart: 0}],
   routes: [
--- a/src/request/fakes/fake-answer.ts
+++ b/src/request/fakes/fake-answer.ts
@@ -4,19 +4,22 @@
 /** How an answer ended. */
 export type AnswerEnd = 'whole' | 'refused' | 'cut';
 
-/** An answer that keeps what it is given. */
+/** An answer that records what is written to it. */
 export abstract class FakeAnswer extends Answer {
   abstract readonly head: AnswerHead | undefined;
   abstract readonly body: string;
   abstract readonly refusal: Refusal | undefined;
   abstract readonly admitted: boolean;
-  /** Resolves with how it ended. */
+  /** Resolves when the answer has ended. */
   abstract readonly ended: Promise<AnswerEnd>;
-  /** `code-name effect` of a refusal, else how it ended; once it has. */
+  /**
+   * Resolves when the answer has ended, with `code-name effect` for a refusal
+   * and with the kind of its end otherwise.
+   */
   abstract summary(): Promise<string>;
 }
 
-/** Creates an answer that has not begun. */
+/** Creates an answer that has not begun yet. */
 export function createFakeAnswer(): FakeAnswer {
   let settle: (end: AnswerEnd) => void = () => {};
   const ended = new Promise<AnswerEnd>(resolve => (settle = resolve));
--- a/src/request/fakes/fake-claims.ts
+++ b/src/request/fakes/fake-claims.ts
@@ -9,7 +9,10 @@
 
 type ClaimState = 'running' | 'abandoned' | StoredAnswer;
 
-/** Claims kept in memory; `remembers: false` shows what happens without them. */
+/**
+ * Creates claims that are stored in memory. With `isStored: false` each claim
+ * is granted, which shows the effect of missing claims.
+ */
 export function createFakeClaims(isStored = true): Claims {
   const held = new Map<string, ClaimState>();
 
@@ -23,16 +26,16 @@
 
   return new (class extends Claims {
     async acquire({key}: ClaimRequest): Promise<Acquisition> {
-      const before = isStored ? held.get(key) : undefined;
-      if (before === undefined) {
+      const previous = isStored ? held.get(key) : undefined;
+      if (previous === undefined) {
         held.set(key, 'running');
         return {kind: 'granted', claim: claimOf(key)};
       }
-      if (before === 'running' || before === 'abandoned') {
+      if (previous === 'running' || previous === 'abandoned') {
         const code = requestCodes.upstreamLost;
-        return {kind: 'refused', code, message: before, retryAfter: 1};
+        return {kind: 'refused', code, message: previous, retryAfter: 1};
       }
-      return {kind: 'answered', answer: before};
+      return {kind: 'answered', answer: previous};
     }
   })();
 }
--- a/src/request/fakes/fake-endpoints.ts
+++ b/src/request/fakes/fake-endpoints.ts
@@ -1,12 +1,12 @@
 import type {Announcement, EndpointView} from '../../endpoints/messages.js';
 
-/** An endpoint view whose instances are set by the test. */
+/** An endpoint view whose instances are set by a test. */
 export interface FakeEndpoints extends EndpointView {
   put(announcement: Announcement): void;
   remove(service: string, instance: string): void;
 }
 
-/** Creates a view that knows no instances. */
+/** Creates a view without instances. */
 export function createFakeEndpoints(): FakeEndpoints {
   const services = new Map<string, Map<string, Announcement>>();
   const observers: Array<(service: string) => void> = [];
@@ -20,7 +20,7 @@
     return instances;
   }
 
-  function tell(service: string): void {
+  function notifyObservers(service: string): void {
     for (const observe of observers) observe(service);
   }
 
@@ -30,16 +30,16 @@
     put: announcement => {
       const {service, instance} = announcement;
       instancesOf(service).set(instance, announcement);
-      tell(service);
+      notifyObservers(service);
     },
     remove: (service, instance) => {
       instancesOf(service).delete(instance);
-      tell(service);
+      notifyObservers(service);
     },
   };
 }
 
-/** An announcement of a serving instance; `changes` go over the defaults. */
+/** An announcement of a serving instance; `changes` override the defaults. */
 export function announcementOf(
   changes: Partial<Announcement> = {},
 ): Announcement {
--- a/src/request/fakes/mesh.ts
+++ b/src/request/fakes/mesh.ts
@@ -1,7 +1,7 @@
 /**
- * A small mesh on loopback: upstreams made by the test, gates, one entry. The
- * sockets are real; time stands still but when the test moves it, so that no
- * verdict hangs on how fast the machine is.
+ * A small mesh on loopback, with upstreams of the test, their gates and one
+ * entry. The sockets are real. Time advances only when the test advances it, so
+ * results do not depend on the speed of the machine.
  */
 import {createServer} from 'node:http';
 import type {RequestListener, Server} from 'node:http';
@@ -23,7 +23,7 @@
 import {announcementOf, createFakeEndpoints} from './fake-endpoints.js';
 import type {FakeEndpoints} from './fake-endpoints.js';
 
-/** One upstream with its gate. */
+/** An upstream and its gate. */
 export interface Member {
   readonly instance: string;
   readonly upstream: Server;
@@ -31,16 +31,16 @@
   readonly server: Listener;
 }
 
-/** What a test's mesh is made of. */
+/** Options of `createMesh`. */
 export interface MeshOptions {
-  /** One for each upstream: what it answers. */
+  /** The request listeners of the upstreams, one for each. */
   readonly upstreams: readonly RequestListener[];
   readonly configuration?: () => Configuration | undefined;
   readonly claims?: Claims;
   readonly gate?: Partial<GateOptions>;
   readonly entry?: Partial<EntryOptions>;
   readonly gateSafeguards?: Partial<Safeguards>;
-  /** Places the entry on the node of the first upstream. */
+  /** Whether the entry is on the node of the first upstream. */
   readonly sameNode?: boolean;
 }
 
@@ -58,9 +58,9 @@
 const log = createSilentLog();
 const headerLimit = 16 * 1024;
 const bodyLimit = 64 * 1024 * 1024;
-const grace = 20;
+const gracePeriod = 20;
 
-/** Starts a mesh; the test closes it. */
+/** Starts a mesh, which the test must close. */
 export async function createMesh(options: MeshOptions): Promise<Mesh> {
   const configuration = options.configuration ?? (() => stockConfiguration);
   const endpoints = createFakeEndpoints();
@@ -92,7 +92,7 @@
     gate: options.sameNode === true ? members[0]!.gate : undefined,
     headerLimit,
     bodyLimit,
-    gracePeriod: grace,
+    gracePeriod,
     timers,
     random: createRandom(1),
     log,
@@ -139,7 +139,7 @@
     headerLimit,
     bodyLimit,
     bodyIdle: 10_000,
-    gracePeriod: grace,
+    gracePeriod,
     timers,
     log,
     safeguards: options.gateSafeguards,
@@ -148,7 +148,7 @@
   return {instance, upstream, gate, server};
 }
 
-/** Moves time on until `work` is done. */
+/** Advances the time until `work` is settled. */
 export async function advanceUntilDone(
   timers: FakeTimers,
   work: Promise<unknown>,
@@ -156,13 +156,13 @@
   let isDone = false;
   const done = work.finally(() => (isDone = true));
   while (!isDone) {
-    timers.advance(grace);
+    timers.advance(gracePeriod);
     await settle();
   }
   await done;
 }
 
-/** Lets a server listen on a free port of loopback; gives its address. */
+/** Lets a server listen on a free loopback port and returns its address. */
 export async function listen(server: Server): Promise<string> {
   await new Promise<void>(resolve => server.listen(0, '127.0.0.1', resolve));
   return `127.0.0.1:${(server.address() as AddressInfo).port}`;
--- a/src/request/fakes/raw-server.ts
+++ b/src/request/fakes/raw-server.ts
@@ -1,15 +1,15 @@
 import {createServer} from 'node:net';
 import type {AddressInfo, Socket} from 'node:net';
 
-/** A TCP server that says exactly what a test wants said. */
+/** A TCP server that sends exactly the bytes that a test specifies. */
 export interface RawServer {
   readonly address: string;
-  /** Heads of requests received. */
+  /** Heads of the received requests. */
   readonly heads: readonly string[];
   close(): Promise<void>;
 }
 
-/** Starts a server that calls `answer` with each request's head. */
+/** Starts a server that calls `answer` with the head of each request. */
 export async function createRawServer(
   answer: (socket: Socket, head: string, count: number) => void,
   allowHalfOpen = false,
@@ -39,7 +39,7 @@
   };
 }
 
-/** An address of loopback on which nothing listens. */
+/** A loopback address on which no process listens. */
 export async function unusedAddress(): Promise<string> {
   const server = await createRawServer(() => {});
   await server.close();
--- a/src/request/fakes/recorded-tickets.ts
+++ b/src/request/fakes/recorded-tickets.ts
@@ -1,14 +1,17 @@
 import type {Admission, Ticket} from '../decisions/admission.js';
 
-/** Tickets of a test, and what became of each. */
+/** The tickets of a test and their results. */
 export interface RecordedTickets {
-  /** What happened, in order: `NAME starts` or `NAME CODE`. */
+  /** Results in the order of their occurrence: `NAME starts` or `NAME CODE`. */
   readonly events: string[];
-  /** Offers a ticket of normal priority with time enough; `changes` go over that. */
+  /**
+   * Offers a ticket with normal priority and a late deadline; `changes`
+   * override these defaults.
+   */
   offer(name: string, changes?: Partial<Ticket>): Ticket;
 }
 
-/** Creates a record of the tickets that are offered to an admission. */
+/** Records the results of tickets that are offered to an admission. */
 export function recordTickets(admission: Admission): RecordedTickets {
   const events: string[] = [];
   return {
--- a/src/request/route-finder.ts
+++ b/src/request/route-finder.ts
@@ -1,4 +1,4 @@
-/** Which route takes a caller's request, or why none does. */
+/** Finds the route of a caller's request, or the reason why there is none. */
 import type {IncomingMessage} from 'node:http';
 import {isBeforeFirst} from '../configuration/configuration.js';
 import type {Configuration} from '../configuration/configuration.js';
@@ -13,14 +13,17 @@
 
 /** Options of `createRouteFinder`. */
 export interface RouteFinderOptions {
-  /** The configuration in force, undefined until one is proved fresh. */
+  /** The configuration in force; undefined until one is proved fresh. */
   readonly configuration: () => Configuration | undefined;
-  /** Whether that is confirmed of late as the newest; true unless given. */
+  /**
+   * Whether the configuration in force was recently confirmed as the newest;
+   * defaults to true.
+   */
   readonly isConfirmed?: (() => boolean) | undefined;
   readonly random: Random;
 }
 
-/** A route, and the configuration that it stands in. */
+/** A route, and the configuration that it belongs to. */
 export interface FoundRoute {
   readonly match: Match;
   readonly configuration: Configuration;
@@ -31,21 +34,22 @@
   request: IncomingMessage,
 ) => FoundRoute | {readonly refused: Refusal};
 
-/** Seconds in which a node finds another home that a quorum confirms. */
+/** Seconds within which a node finds another home that a quorum confirms. */
 const unsureRetryAfter = 1;
 
-/** Creates a finder that follows the configuration in force. */
+/** Creates a route finder that always uses the configuration in force. */
 export function createRouteFinder(options: RouteFinderOptions): RouteFinder {
   const {random} = options;
   const routerOf = createRouterCache();
 
   /**
    * A node that is cut off from the quorum may lack a route that was accepted
-   * since. Its `no-route` would be believed and the request given up for good.
+   * meanwhile. A caller that received `no-route` would not retry, so the answer
+   * is `route-unsure` until the configuration is confirmed.
    */
   function refuseUnmatched(code: Code): Refusal {
-    const isSure = options.isConfirmed?.() ?? true;
-    if (isSure || code !== requestCodes.noRoute) return refusal(code);
+    const isConfirmed = options.isConfirmed?.() ?? true;
+    if (isConfirmed || code !== requestCodes.noRoute) return refusal(code);
     return refusal(requestCodes.routeUnsure, undefined, unsureRetryAfter);
   }
 
@@ -55,7 +59,8 @@
       return {refused: refusal(requestCodes.badRequest, fault)};
     }
     const configuration = options.configuration();
-    // Its `no-route` would be believed for routes that are about to come.
+    // Before the first configuration, `no-route` would make callers give up on
+    // routes that are about to be configured.
     if (configuration === undefined || isBeforeFirst(configuration)) {
       return {refused: noConfiguration()};
     }
--- a/src/request/transport/egress-queue.ts
+++ b/src/request/transport/egress-queue.ts
@@ -1,8 +1,9 @@
 /**
- * The way out of a VM for the answers that its process sends. Large ones leave
- * one after the other at the pace of a share of the link; very large ones let
- * the others go first from time to time. Written as they come, they would wait
- * in the sockets, and small answers, marks and heartbeats behind them.
+ * Queues the answers that a process sends over its VM's outgoing link. Small
+ * answers are written at once. Large answers are written one after the other at
+ * a share of the link's rate, and very large ones in turns. Written without a
+ * limit, they would fill the link's buffers and delay small answers, freshness
+ * marks and heartbeats.
  */
 import {Answer, answerTurn, largeAnswer} from '../messages/answer.js';
 import type {AnswerHead, Refusal} from '../messages/call.js';
@@ -12,53 +13,57 @@
 import {createRateAverage} from './rate-average.js';
 import type {RateAverage} from './rate-average.js';
 
-/** An answer on its way through an egress queue. */
+/** An answer that is sent through an egress queue. */
 export abstract class QueuedAnswer extends Answer {
-  /** Its receiver has gone; what waits of it is let go. */
+  /** Discards the bytes that wait, as their receiver has disconnected. */
   abstract drop(): void;
 }
 
-/** The way out for the answers of one process. */
+/** Queues the answers of one process. */
 export interface EgressQueue {
   /** Bytes of large answers that wait for the link. */
   readonly waiting: number;
-  /** Bytes a second that small answers take of late. */
+  /** Recent rate of small answers in bytes per second. */
   readonly taken: number;
-  /** The way through it to `answer`. */
+  /** Creates an answer that is written to `answer` through the queue. */
   to(answer: Answer): QueuedAnswer;
 }
 
 /** Options of `createEgressQueue`. */
 export interface EgressQueueOptions {
-  /** Bytes a second that answers may take. */
+  /** Maximum rate of answers in bytes per second. */
   readonly rate: number;
   readonly timers: Timers;
 }
 
-/** Milliseconds' worth of large answers that a small one may wait behind. */
+/**
+ * Size of a burst of large answers, in milliseconds at the limited rate. A
+ * small answer may be delayed by this time.
+ */
 const burst = 10;
 
-/** Bytes of a large answer that leave at once. */
+/** Bytes of a large answer that are written in one step. */
 const partSize = 8 * 1024;
 
-/** Bytes that each answer may have waiting, however many others wait. */
+/** Bytes that each answer may buffer, however much the others buffer. */
 const perAnswerLimit = 64 * 1024;
 
 /**
- * Bytes that all answers may have waiting together. Up to there the upstream is
- * not held up, so its slots are free for work whose answers are small.
+ * Bytes that all answers together may buffer before upstreams are paused. Until
+ * then upstreams finish early and free their slots for requests with small
+ * answers.
  */
 const readAhead = 1024 * 1024;
 
-/** The part of an egress queue that its answers share. */
+/** The state of an egress queue that its answers share. */
 interface SharedQueue {
   readonly bucket: TokenBucket;
   readonly smallAnswerRate: RateAverage;
-  /** Large answers under way, the one whose turn it is first. */
+  /** Large answers in progress, in the order of their turns. */
   readonly answers: Set<EgressAnswer>;
-  /** Bytes that wait, for the link or for their receivers. */
+  /** Buffered bytes that wait for the link or for their receivers. */
   held: number;
-  /** Sends what may leave now. */
+  /** Sends the parts that the rate allows now. */
   pump(): void;
 }
 
@@ -67,7 +72,7 @@
   rate,
   timers,
 }: EgressQueueOptions): EgressQueue {
-  let next: Subscription | undefined;
+  let pumpTimer: Subscription | undefined;
   let isPumping = false;
   const queue: SharedQueue = {
     bucket: createTokenBucket(rate, timers, burst),
@@ -78,7 +83,7 @@
   };
 
   function pump(): void {
-    if (isPumping || next !== undefined) return;
+    if (isPumping || pumpTimer !== undefined) return;
     isPumping = true;
     sendReady();
     isPumping = false;
@@ -90,8 +95,8 @@
       if (ready === undefined) return;
       const wait = queue.bucket.wait();
       if (wait > 0) {
-        next = timers.after(wait, () => {
-          next = undefined;
+        pumpTimer = timers.after(wait, () => {
+          pumpTimer = undefined;
           pump();
         });
         return;
@@ -121,19 +126,19 @@
   };
 }
 
-/** An answer that takes its turn once it has grown large. */
+/** An answer that is queued once it has become large. */
 class EgressAnswer extends QueuedAnswer {
-  /** Bytes that passed at once. */
+  /** Bytes that were written without queueing. */
   private unqueuedBytes = 0;
   private isLarge = false;
   private readonly parts: Buffer[] = [];
   private held = 0;
-  /** Bytes that left in this turn. */
+  /** Bytes that were sent in this turn. */
   private sent = 0;
-  /** Whether its receiver takes no more now. */
+  /** Whether the receiver applies back-pressure. */
   private isBlocked = false;
-  private isWhole = false;
-  private isOver = false;
+  private isComplete = false;
+  private hasEnded = false;
   private resume: (() => void) | undefined;
 
   constructor(
@@ -147,7 +152,7 @@
     return this.held > 0 && !this.isBlocked;
   }
 
-  /** Bytes that wait for the link, not for the receiver. */
+  /** Buffered bytes that wait for the link and not for the receiver. */
   get waiting(): number {
     return this.isBlocked ? 0 : this.held;
   }
@@ -161,7 +166,7 @@
   }
 
   write(chunk: Buffer): boolean {
-    if (this.isOver) return true;
+    if (this.hasEnded) return true;
     if (!this.isLarge && this.unqueuedBytes + chunk.length < largeAnswer) {
       this.unqueuedBytes += chunk.length;
       this.queue.bucket.consume(chunk.length);
@@ -183,8 +188,8 @@
   }
 
   end(): void {
-    this.isWhole = true;
-    if (!this.isOver && this.held === 0) this.finish();
+    this.isComplete = true;
+    if (!this.hasEnded && this.held === 0) this.finish();
   }
 
   refuse(refusal: Refusal): void {
@@ -200,23 +205,23 @@
   drop(): void {
     const {resume} = this;
     this.releaseParts();
-    // Work that goes on without its caller must not wait for it either.
+    // A request that continues after its caller has left must not stay paused.
     resume?.();
   }
 
-  /** Sends the next part of it. */
+  /** Sends the next part. */
   sendPart(): void {
-    const part = this.takePart();
+    const part = this.removePart();
     this.held -= part.length;
     this.queue.held -= part.length;
     this.queue.bucket.consume(part.length);
     if (!this.answer.write(part)) this.block();
     this.sent += part.length;
-    if (this.held === 0 && this.isWhole) this.finish();
+    if (this.held === 0 && this.isComplete) this.finish();
     else if (this.sent >= answerTurn) this.endTurn();
   }
 
-  /** Has its sender go on once there is room for more. */
+  /** Resumes the sender if there is room for more. */
   resumeSender(): void {
     const {resume} = this;
     if (resume === undefined || !this.hasRoom()) return;
@@ -224,7 +229,7 @@
     resume();
   }
 
-  /** It is no small answer after all. */
+  /** Queues the answer from now on and no longer counts it as a small one. */
   private markLarge(): void {
     this.isLarge = true;
     this.queue.smallAnswerRate.add(-this.unqueuedBytes);
@@ -234,14 +239,16 @@
     return this.queue.held < readAhead || this.held < perAnswerLimit;
   }
 
-  private takePart(): Buffer {
+  private removePart(): Buffer {
     const first = this.parts[0]!;
     if (first.length <= partSize) return this.parts.shift()!;
     this.parts[0] = first.subarray(partSize);
     return first.subarray(0, partSize);
   }
 
-  /** Goes behind the others; an answer without an end would keep them waiting. */
+  /**
+   * Moves to the end of the queue, so that an endless answer blocks no other.
+   */
   private endTurn(): void {
     this.sent = 0;
     this.queue.answers.delete(this);
@@ -257,7 +264,7 @@
   }
 
   private releaseParts(): void {
-    this.isOver = true;
+    this.hasEnded = true;
     this.queue.held -= this.held;
     this.held = 0;
     this.parts.length = 0;
--- a/src/request/transport/framed-call.ts
+++ b/src/request/transport/framed-call.ts
@@ -1,4 +1,4 @@
-/** One call to a gate on the framed link that all calls to it share. */
+/** One call to a gate over the framed link that all calls to the gate share. */
 import {Failure} from '../../result/failure.js';
 import type {Timers} from '../../time/timers.js';
 import type {Answer} from '../messages/answer.js';
@@ -6,14 +6,19 @@
 import {delayUntil} from '../../time/deadline.js';
 import type {FramedLink, FrameReceiver} from './framed-link.js';
 import type {CallFrame} from './frames.js';
-import {codeOf, decisionMargin, refusalForFailure, timeLeft} from './gate-call.js';
+import {
+  codeOf,
+  decisionMargin,
+  refusalForFailure,
+  timeLeft,
+} from './gate-call.js';
 import {endToEndHeaders} from './headers.js';
 import type {Call, Cancel} from '../messages/call.js';
 import type {GateTarget} from '../messages/hops.js';
 import {refusal} from '../messages/refusal.js';
 import type {Safeguards} from '../messages/safeguards.js';
 
-/** A call and the link that carries it. */
+/** Options of `callOverLink`. */
 export interface FramedCallOptions {
   readonly call: Call;
   readonly peer: GateTarget;
@@ -22,11 +27,11 @@
   readonly timers: Timers;
   readonly safeguards: Safeguards;
   readonly foreign: ReadonlySet<string> | undefined;
-  /** The gate has no framed links; nothing was sent to it. */
+  /** Called if the gate does not support framed links; nothing was sent. */
   readonly unsupported: () => void;
 }
 
-/** Makes the call. */
+/** Sends a call over a framed link. */
 export function callOverLink(options: FramedCallOptions): Cancel {
   const {call, peer, answer, link, timers, safeguards, foreign} = options;
   let isStarted = false;
@@ -36,40 +41,44 @@
     head: ({status, reason, headers, load}) => {
       peer.loaded(load);
       isStarted = true;
-      answer.start({status, reason, headers: endToEndHeaders(headers, {foreign})});
+      answer.start({
+        status,
+        reason,
+        headers: endToEndHeaders(headers, {foreign}),
+      });
     },
     data: chunk => {
       if (answer.write(chunk)) return true;
-      answer.onDrain(() => sent.taken());
+      answer.onDrain(() => framedCall.taken());
       return false;
     },
     end: () => {
-      limit.cancel();
+      timeoutTimer.cancel();
       answer.end();
     },
     cut: () => {
-      limit.cancel();
+      timeoutTimer.cancel();
       answer.cut();
     },
     refused: ({code, retryAfter, load}) => {
-      limit.cancel();
+      timeoutTimer.cancel();
       peer.loaded(load);
       answer.refuse(refusal(codeOf(code), undefined, retryAfter));
     },
     lost: fail,
     unsupported: () => {
-      limit.cancel();
+      timeoutTimer.cancel();
       options.unsupported();
     },
   };
 
   function fail(error: Error, began: boolean): void {
-    limit.cancel();
+    timeoutTimer.cancel();
     if (isStarted) answer.cut();
     else answer.refuse(refusalForFailure(error, began && safeguards.doubt));
   }
 
-  function write(number: number): CallFrame {
+  function buildFrame(number: number): CallFrame {
     isBegun = true;
     const {instance, service} = peer.announcement;
     const {body} = call;
@@ -92,14 +101,14 @@
     };
   }
 
-  const sent = link.send(write, receiver);
-  const left = delayUntil(call.deadline + decisionMargin, timers.now());
-  const limit = timers.after(left, () => {
-    sent.cancel();
+  const framedCall = link.send(buildFrame, receiver);
+  const timeout = delayUntil(call.deadline + decisionMargin, timers.now());
+  const timeoutTimer = timers.after(timeout, () => {
+    framedCall.cancel();
     fail(new Failure(requestCodes.deadlinePassed, 'no answer'), isBegun);
   });
   return () => {
-    limit.cancel();
-    sent.cancel();
+    timeoutTimer.cancel();
+    framedCall.cancel();
   };
 }
--- a/src/request/transport/framed-gate.ts
+++ b/src/request/transport/framed-gate.ts
@@ -1,6 +1,7 @@
 /**
  * The gate's end of the framed links from the entries of other nodes. Each link
- * carries the calls of one entry; a link that ends cancels those that it carried.
+ * carries the calls of entryLink entry. When a link ends, its calls are
+ * cancelled.
  */
 import type {SocketLink} from '../../link/socket-link.js';
 import type {Log} from '../../log/log.js';
@@ -18,135 +19,150 @@
 /** Options of `createFramedGate`; times in milliseconds. */
 export interface FramedGateOptions {
   readonly gate: CallHandler;
-  /** The way out for answers; as they come unless given. */
+  /** Queue that answers are sent through; sent directly by default. */
   readonly egressQueue?: EgressQueue | undefined;
   readonly timers: Timers;
   readonly log: Log;
   readonly safeguards: Safeguards;
 }
 
-/** The framed links to one gate. */
+/** The framed links to entryLink gate. */
 export interface FramedGate {
-  /** Bytes that wait to leave on all links. */
+  /** Bytes that wait to be sent on all links. */
   readonly unsent: number;
-  /** Serves one link until it ends. */
+  /** Serves a link until it ends. */
   accept(link: SocketLink): void;
   /**
-   * Tells the entries to send no more calls, and ends each link once it carries
-   * none: the free ones after `grace`, so that a call that is on its way is still
-   * refused as not run, and all at `deadline`.
+   * Asks the entries to send no more calls. Links without calls are closed
+   * after `gracePeriod`, so that calls that are still in transit are refused as
+   * not run. The others are closed when their last call ends, at the latest
+   * after `deadline`.
    */
-  stop(grace: number, deadline: number): void;
+  stop(gracePeriod: number, deadline: number): void;
 }
 
-/** One call under way at this gate. */
+/** A call in progress at this gate. */
 interface ActiveCall {
   cancel: Cancel;
   taken(bytes: number): void;
 }
 
-/** One link and its calls. */
+/** A link from an entry and its calls. */
 interface EntryLink {
   readonly link: SocketLink;
   readonly calls: Map<number, ActiveCall>;
-  /** Calls that came in this turn of the loop and begin in the next. */
+  /**
+   * Calls that were received in this turn of the loop and begin in the next.
+   */
   readonly arrived: Map<number, CallFrame>;
   lastReceivedAt: number;
 }
 
-/** Milliseconds without a word after which an entry's link is let go of. */
+/**
+ * Milliseconds without a message after which an entry's idle link is closed.
+ */
 const maxSilence = 90_000;
-/** Milliseconds between two looks for such links. */
+/** Milliseconds between two checks for such links. */
 const sweepPeriod = 30_000;
 
-/** Milliseconds that an entry has to close its half of a link that was closed. */
-const closeTime = 250;
+/**
+ * Milliseconds within which an entry has to close its half of a closed link.
+ */
+const closeTimeout = 250;
 
-/** Creates the gate's end; links are handed to it as they open. */
+/** Creates the gate's end; new links are passed to `accept`. */
 export function createFramedGate(options: FramedGateOptions): FramedGate {
   const {gate, timers, safeguards} = options;
   const entryLinks = new Set<EntryLink>();
-  const sweeping = timers.every(sweepPeriod, sweep);
+  const sweepTimer = timers.every(sweepPeriod, sweep);
   let isGracePeriodOver = false;
 
-  /** An entry without power never closes; its link would be kept for good. */
+  /** An entry that loses power never closes its link, which would leak here. */
   function sweep(): void {
-    const oldest = timers.now() - maxSilence;
-    for (const one of entryLinks) {
-      if (one.lastReceivedAt < oldest && isFree(one)) one.link.close();
+    const minReceivedAt = timers.now() - maxSilence;
+    for (const entryLink of entryLinks) {
+      if (entryLink.lastReceivedAt < minReceivedAt && isIdle(entryLink))
+        entryLink.link.close();
     }
   }
 
   function accept(link: SocketLink): void {
-    const own: EntryLink = {
+    const entryLink: EntryLink = {
       link,
       calls: new Map(),
       arrived: new Map(),
       lastReceivedAt: timers.now(),
     };
-    entryLinks.add(own);
+    entryLinks.add(entryLink);
     link.onMessage(message => {
-      own.lastReceivedAt = timers.now();
-      take(own, message as EntryFrame);
+      entryLink.lastReceivedAt = timers.now();
+      handleFrame(entryLink, message as EntryFrame);
     });
     link.onClose(() => {
-      entryLinks.delete(own);
-      own.arrived.clear();
-      for (const {cancel} of [...own.calls.values()]) cancel();
+      entryLinks.delete(entryLink);
+      entryLink.arrived.clear();
+      for (const {cancel} of [...entryLink.calls.values()]) cancel();
     });
   }
 
-  function take(own: EntryLink, frame: EntryFrame): void {
+  function handleFrame(entryLink: EntryLink, frame: EntryFrame): void {
     switch (frame.type) {
       case 'call':
-        return arrive(own, frame);
+        return enqueueCall(entryLink, frame);
       case 'cancel':
-        own.arrived.delete(frame.call);
-        return own.calls.get(frame.call)?.cancel();
+        entryLink.arrived.delete(frame.call);
+        return entryLink.calls.get(frame.call)?.cancel();
       case 'taken':
-        return own.calls.get(frame.call)?.taken(frame.bytes);
+        return entryLink.calls.get(frame.call)?.taken(frame.bytes);
       case 'ping':
-        return send(own, {type: 'pong'});
+        return send(entryLink, {type: 'pong'});
     }
   }
 
   /**
-   * Begins in the next turn: after this process was held up, a call and its
-   * `cancel` are read together, and would otherwise be run for nobody.
+   * Begins the call in the next turn of the loop. After the loop was blocked, a
+   * call and its `cancel` may be read in the same turn; the call would
+   * otherwise run although its caller has left.
    */
-  function arrive(own: EntryLink, frame: CallFrame): void {
-    if (own.arrived.size === 0) setImmediate(() => beginArrived(own));
-    own.arrived.set(frame.call, frame);
+  function enqueueCall(entryLink: EntryLink, frame: CallFrame): void {
+    if (entryLink.arrived.size === 0)
+      setImmediate(() => beginArrived(entryLink));
+    entryLink.arrived.set(frame.call, frame);
   }
 
-  function beginArrived(own: EntryLink): void {
-    const frames = [...own.arrived.values()];
-    own.arrived.clear();
-    for (const frame of frames) begin(own, frame);
+  function beginArrived(entryLink: EntryLink): void {
+    const frames = [...entryLink.arrived.values()];
+    entryLink.arrived.clear();
+    for (const frame of frames) beginCall(entryLink, frame);
   }
 
-  function begin(own: EntryLink, frame: CallFrame): void {
-    const framed = createFramedAnswer(frame.call, {
-      send: message => send(own, message),
+  function beginCall(entryLink: EntryLink, frame: CallFrame): void {
+    const framedAnswer = createFramedAnswer(frame.call, {
+      send: message => send(entryLink, message),
       load: () => gate.loadOf(frame.policy),
-      ended: () => ended(own, frame.call),
+      ended: () => callEnded(entryLink, frame.call),
     });
-    const queued = options.egressQueue?.to(framed);
-    const answer = queued ?? framed;
-    const work: ActiveCall = {cancel: () => {}, taken: framed.taken};
-    own.calls.set(frame.call, work);
+    const queuedAnswer = options.egressQueue?.to(framedAnswer);
+    const answer = queuedAnswer ?? framedAnswer;
+    const activeCall: ActiveCall = {
+      cancel: () => {},
+      taken: framedAnswer.taken,
+    };
+    entryLink.calls.set(frame.call, activeCall);
     if (safeguards.instanceCheck && !isForGate(frame)) {
       return answer.refuse(refusal(requestCodes.wrongInstance));
     }
     const cancel = handle(frame, answer);
-    work.cancel = () => {
-      own.calls.delete(frame.call);
-      queued?.drop();
+    activeCall.cancel = () => {
+      entryLink.calls.delete(frame.call);
+      queuedAnswer?.drop();
       cancel();
     };
   }
 
-  /** A call whose handling fails ends; the others on the link go on. */
+  /**
+   * Ends a call whose handling throws; other calls on the link are unaffected.
+   */
   function handle(frame: CallFrame, answer: Answer): Cancel {
     try {
       return gate.handle(toCall(frame, timers.now()), answer);
@@ -158,25 +174,30 @@
     }
   }
 
-  function ended(own: EntryLink, call: number): void {
-    own.calls.delete(call);
-    if (isGracePeriodOver) closeFree();
+  function callEnded(entryLink: EntryLink, call: number): void {
+    entryLink.calls.delete(call);
+    if (isGracePeriodOver) closeIdle();
   }
 
   /**
-   * Addresses are used again: after a move, one may reach the gate of another
-   * upstream, which would run the work of a service that it does not have.
+   * Addresses are reused. After an instance has moved, its old address may
+   * belong to the gate of another upstream, which must not run requests of this
+   * service.
    */
   function isForGate({instance, service}: CallFrame): boolean {
     return instance === gate.instance && service === gate.service;
   }
 
-  /** An entry that has gone silent closes no link; it must not hold up the stop. */
-  function closeFree(): void {
-    for (const one of entryLinks) {
-      if (!isFree(one)) continue;
-      one.link.close();
-      timers.after(closeTime, () => one.link.destroy());
+  /**
+   * Closes the links without calls. An unreachable entry does not close its
+   * half of the link, so the link is destroyed after a timeout and can't delay
+   * the stop.
+   */
+  function closeIdle(): void {
+    for (const entryLink of entryLinks) {
+      if (!isIdle(entryLink)) continue;
+      entryLink.link.close();
+      timers.after(closeTimeout, () => entryLink.link.destroy());
     }
   }
 
@@ -187,15 +208,15 @@
       return bytes;
     },
     accept,
-    stop: (grace, deadline) => {
-      sweeping.cancel();
-      for (const one of entryLinks) send(one, {type: 'leaving'});
-      const closing = timers.after(Math.min(grace, deadline), () => {
+    stop: (gracePeriod, deadline) => {
+      sweepTimer.cancel();
+      for (const entryLink of entryLinks) send(entryLink, {type: 'leaving'});
+      const graceTimer = timers.after(Math.min(gracePeriod, deadline), () => {
         isGracePeriodOver = true;
-        closeFree();
+        closeIdle();
       });
       timers.after(deadline, () => {
-        closing.cancel();
+        graceTimer.cancel();
         for (const {link} of entryLinks) link.destroy();
       });
     },
@@ -206,7 +227,7 @@
   link.send(frame);
 }
 
-function isFree({calls, arrived}: EntryLink): boolean {
+function isIdle({calls, arrived}: EntryLink): boolean {
   return calls.size === 0 && arrived.size === 0;
 }
 
@@ -229,17 +250,17 @@
   };
 }
 
-/** What an answer on a link works with. */
+/** Options of `createFramedAnswer`. */
 interface FramedAnswerOptions {
   readonly send: (frame: GateFrame) => void;
   readonly load: () => number;
-  /** Called once, after its last frame. */
+  /** Called once after the last frame was sent. */
   readonly ended: () => void;
 }
 
-/** An answer on a link. */
+/** An answer that is sent in frames on a link. */
 interface FramedAnswer extends Answer {
-  /** The caller took so many bytes more. */
+  /** The caller has taken `bytes` more bytes. */
   taken(bytes: number): void;
 }
 
@@ -247,8 +268,8 @@
   call: number,
   {send, load, ended}: FramedAnswerOptions,
 ): FramedAnswer {
-  /** Bytes that the caller has not taken yet. */
-  let ahead = 0;
+  /** Bytes that were sent and that the caller has not taken yet. */
+  let unacknowledged = 0;
   let resume: (() => void) | undefined;
 
   function finish(frame: GateFrame): void {
@@ -257,17 +278,17 @@
   }
 
   return {
-    // A gathered body was handed over with the call; nothing waits for this.
+    // The call frame contained the whole body, so no upload waits for this.
     admit: () => {},
     start: ({status, reason, headers}) =>
       send({type: 'head', call, status, reason, headers, load: load()}),
     write: chunk => {
-      ahead += chunk.length;
+      unacknowledged += chunk.length;
       send({type: 'data', call, chunk});
-      return ahead < answerWindow;
+      return unacknowledged < answerWindow;
     },
-    onDrain: goOn => {
-      resume = goOn;
+    onDrain: resumeSender => {
+      resume = resumeSender;
     },
     end: () => finish({type: 'end', call}),
     refuse: ({code, retryAfter}) =>
@@ -280,11 +301,11 @@
       }),
     cut: () => finish({type: 'cut', call}),
     taken: bytes => {
-      ahead -= bytes;
-      if (ahead >= answerWindow) return;
-      const goOn = resume;
+      unacknowledged -= bytes;
+      if (unacknowledged >= answerWindow) return;
+      const resumeSender = resume;
       resume = undefined;
-      goOn?.();
+      resumeSender?.();
     },
   };
 }
--- a/src/request/transport/framed-link.ts
+++ b/src/request/transport/framed-link.ts
@@ -1,7 +1,7 @@
 /**
  * The entry's end of the framed link to one gate. All calls to the gate share
- * one connection: over a connection for each call an HTTP client and a server
- * took more of a node's processor than all of its decisions.
+ * one connection. An HTTP connection for each call would need more processor
+ * time for the HTTP client and server than the node needs for everything else.
  */
 import {createKeySharingCodec} from '../../link/codec.js';
 import {createSocketLink} from '../../link/socket-link.js';
@@ -13,7 +13,7 @@
 import {upgradeToLink} from './link-upgrade.js';
 import type {LinkUpgradeOptions, OpeningFailure} from './link-upgrade.js';
 
-/** Hears what a gate says about one call. */
+/** Receives the gate's frames about one call. */
 export abstract class FrameReceiver {
   abstract head(frame: GateFrame & {type: 'head'}): void;
 
@@ -26,34 +26,36 @@
 
   abstract refused(frame: GateFrame & {type: 'refused'}): void;
 
-  /** The link failed; `began` tells whether the call may have been read. */
+  /**
+   * The link failed; `began` tells whether the gate may have received the call.
+   */
   abstract lost(error: Error, began: boolean): void;
 
-  /** The gate is of an older version that has no framed links. */
+  /** The gate has an older version that does not support framed links. */
   abstract unsupported(): void;
 }
 
-/** A call under way on a link. */
+/** A call in progress on a link. */
 export interface FramedCall {
-  /** The caller has taken what `FrameReceiver.data` could not pass on. */
+  /** Reports that the caller has taken the data that was waiting for it. */
   taken(): void;
-  /** Ends the call here; nothing is heard of it any more. */
+  /** Cancels the call; its receiver is not called any more. */
   cancel(): void;
 }
 
-/** A call as its caller makes it; told when it is written. */
+/** Builds the frame of a call with the given number when it is sent. */
 export type CallFrameBuilder = (call: number) => EntryFrame & {type: 'call'};
 
 /** The link to one gate. */
 export interface FramedLink {
-  /** Calls under way. */
+  /** Number of calls in progress. */
   readonly calls: number;
   /** Whether new calls may be sent on it. */
   readonly isUsable: boolean;
-  send(write: CallFrameBuilder, receiver: FrameReceiver): FramedCall;
-  /** Looks whether the gate is still there; to be called each `lookPeriod`. */
+  send(buildFrame: CallFrameBuilder, receiver: FrameReceiver): FramedCall;
+  /** Detects an unreachable gate; must be called every `checkPeriod`. */
   check(): void;
-  /** Closes it; calls under way are lost. */
+  /** Closes the link; calls in progress are lost. */
   close(): void;
 }
 
@@ -62,37 +64,40 @@
   readonly log: Log;
 }
 
-/** Milliseconds between two looks at a link. */
+/** Milliseconds between two checks of a link. */
 export const checkPeriod = 250;
 
 /**
- * Milliseconds without a word of a gate that owes an answer to a ping. A link
- * may go silent for good without a reset; calls on it would be held until their
- * deadlines. A gate that is only busy answers within a few tens.
+ * Milliseconds without a frame, while a ping is unanswered, after which the
+ * link is closed. A network failure may silence a link for good without a
+ * reset, and its calls would wait until their deadlines. A gate that is merely
+ * busy answers a ping within a few tens of milliseconds.
  */
 const maxSilence = 1000;
 
-/** Largest frame of a gate: a part of an answer and its wrapping. */
+/** Maximum size of a gate's frame: a part of an answer and its envelope. */
 const messageLimit = 1024 * 1024;
 
-/** Bytes taken after which a gate hears of it. */
+/** Bytes that the caller takes before the gate receives a `taken` frame. */
 const takenReportStep = answerWindow / 4;
 
 interface PendingCall {
-  readonly write: CallFrameBuilder;
+  readonly buildFrame: CallFrameBuilder;
   readonly receiver: FrameReceiver;
   began: boolean;
-  /** Bytes taken that the gate has not heard of. */
+  /**
+   * Bytes that the caller has taken and that were not yet reported to the gate.
+   */
   taken: number;
   /** Bytes that wait for the caller. */
   waiting: number;
 }
 
-/** Opens a link; calls wait until it is open. */
+/** Opens a link; calls are sent once it is open. */
 export function openFramedLink(options: FramedLinkOptions): FramedLink {
   const {timers, log, address} = options;
-  const pending = new Map<number, PendingCall>();
-  const watch = createSilenceWatch(timers, checkPeriod, maxSilence);
+  const pendingCalls = new Map<number, PendingCall>();
+  const silenceWatch = createSilenceWatch(timers, checkPeriod, maxSilence);
   let link: SocketLink | undefined;
   let isUsable = true;
   let lastCall = 0;
@@ -109,16 +114,16 @@
     link.onClose(() => failBecause('the gate closed the link'));
     link.onMessage(message => {
       recordActivity();
-      take(message as GateFrame);
+      handleFrame(message as GateFrame);
     });
     recordActivity();
-    for (const [call, one] of pending) begin(call, one);
+    for (const [call, pendingCall] of pendingCalls) sendCall(call, pendingCall);
   });
 
   function fail(result: OpeningFailure): void {
     isUsable = false;
-    const lost = [...pending.values()];
-    pending.clear();
+    const lost = [...pendingCalls.values()];
+    pendingCalls.clear();
     for (const {receiver, began} of lost) {
       if (result.kind === 'unsupported') receiver.unsupported();
       else receiver.lost(result.error, began);
@@ -131,87 +136,104 @@
 
   function recordActivity(): void {
     lastReceivedAt = timers.now();
-    watch.hear();
+    silenceWatch.hear();
   }
 
-  function begin(call: number, one: PendingCall): void {
-    one.began = true;
-    link!.send(one.write(call));
+  function sendCall(call: number, pendingCall: PendingCall): void {
+    pendingCall.began = true;
+    link!.send(pendingCall.buildFrame(call));
   }
 
-  function take(frame: GateFrame): void {
+  function handleFrame(frame: GateFrame): void {
     if (frame.type === 'pong') return;
-    if (frame.type === 'leaving') return leave();
-    const one = pending.get(frame.call);
-    // What a gate still says of a call that was cancelled is of no interest.
-    if (one === undefined) return;
-    if (frame.type === 'head') return one.receiver.head(frame);
-    if (frame.type === 'data') return takeData(frame.call, one, frame.chunk);
-    finish(frame.call);
-    if (frame.type === 'end') one.receiver.end();
-    else if (frame.type === 'cut') one.receiver.cut();
-    else one.receiver.refused(frame);
+    if (frame.type === 'leaving') return stopUsing();
+    const pendingCall = pendingCalls.get(frame.call);
+    // Frames of a call that was cancelled are ignored.
+    if (pendingCall === undefined) return;
+    if (frame.type === 'head') return pendingCall.receiver.head(frame);
+    if (frame.type === 'data')
+      return handleData(frame.call, pendingCall, frame.chunk);
+    endCall(frame.call);
+    if (frame.type === 'end') pendingCall.receiver.end();
+    else if (frame.type === 'cut') pendingCall.receiver.cut();
+    else pendingCall.receiver.refused(frame);
   }
 
-  function takeData(call: number, one: PendingCall, chunk: Buffer): void {
-    if (!one.receiver.data(chunk)) {
-      one.waiting += chunk.length;
+  function handleData(
+    call: number,
+    pendingCall: PendingCall,
+    chunk: Buffer,
+  ): void {
+    if (!pendingCall.receiver.data(chunk)) {
+      pendingCall.waiting += chunk.length;
       return;
     }
-    reportTaken(call, one, chunk.length);
+    reportTaken(call, pendingCall, chunk.length);
   }
 
-  function reportTaken(call: number, one: PendingCall, bytes: number): void {
-    one.taken += bytes;
-    if (one.taken < takenReportStep) return;
-    link?.send({type: 'taken', call, bytes: one.taken});
-    one.taken = 0;
+  function reportTaken(
+    call: number,
+    pendingCall: PendingCall,
+    bytes: number,
+  ): void {
+    pendingCall.taken += bytes;
+    if (pendingCall.taken < takenReportStep) return;
+    link?.send({type: 'taken', call, bytes: pendingCall.taken});
+    pendingCall.taken = 0;
   }
 
-  /** The gate stops; what is under way still ends here. */
-  function leave(): void {
+  /**
+   * The gate stops: calls in progress are finished, new ones use another link.
+   */
+  function stopUsing(): void {
     isUsable = false;
-    if (pending.size === 0) link!.close();
+    if (pendingCalls.size === 0) link!.close();
   }
 
-  function finish(call: number): void {
-    pending.delete(call);
-    if (!isUsable && pending.size === 0) link?.close();
+  function endCall(call: number): void {
+    pendingCalls.delete(call);
+    if (!isUsable && pendingCalls.size === 0) link?.close();
   }
 
   return {
     get calls() {
-      return pending.size;
+      return pendingCalls.size;
     },
     get isUsable() {
       return isUsable;
     },
-    send: (write, receiver) => {
+    send: (buildFrame, receiver) => {
       const call = ++lastCall;
-      // Nothing was owed until now; silence counts from here.
-      if (pending.size === 0) recordActivity();
-      const one = {write, receiver, began: false, taken: 0, waiting: 0};
-      pending.set(call, one);
-      if (link !== undefined) begin(call, one);
+      // The gate had no reason to send frames before, so silence starts now.
+      if (pendingCalls.size === 0) recordActivity();
+      const pendingCall = {
+        buildFrame,
+        receiver,
+        began: false,
+        taken: 0,
+        waiting: 0,
+      };
+      pendingCalls.set(call, pendingCall);
+      if (link !== undefined) sendCall(call, pendingCall);
       return {
         taken: () => {
-          const {waiting} = one;
-          one.waiting = 0;
-          reportTaken(call, one, waiting);
+          const {waiting} = pendingCall;
+          pendingCall.waiting = 0;
+          reportTaken(call, pendingCall, waiting);
         },
         cancel: () => {
-          if (pending.get(call) !== one) return;
-          if (one.began) link?.send({type: 'cancel', call});
-          finish(call);
+          if (pendingCalls.get(call) !== pendingCall) return;
+          if (pendingCall.began) link?.send({type: 'cancel', call});
+          endCall(call);
         },
       };
     },
     check: () => {
-      const hearing = watch.look();
-      if (pending.size === 0 || link === undefined) return;
-      if (hearing === 'silent') {
-        log.warn('gate link silent', {gate: address, calls: pending.size});
-        failBecause(`nothing heard for ${maxSilence} ms`);
+      const linkState = silenceWatch.look();
+      if (pendingCalls.size === 0 || link === undefined) return;
+      if (linkState === 'silent') {
+        log.warn('gate link silent', {gate: address, calls: pendingCalls.size});
+        failBecause(`nothing received for ${maxSilence} ms`);
         link.destroy();
         return;
       }
--- a/src/request/transport/frames.ts
+++ b/src/request/transport/frames.ts
@@ -1,24 +1,26 @@
 /**
- * What entries and gates say to each other on a framed link. One link carries
- * many calls, told apart by a number that the entry gives; a call is ended by
- * exactly one `end`, `refused` or `cut` of the gate, or a `cancel` of the entry.
+ * The frames that entries and gates exchange on a framed link. A link carries
+ * many calls, each with a number that the entry assigns. A call ends with
+ * exactly one `end`, `refused` or `cut` of the gate, or with a `cancel` of the
+ * entry.
  */
 import type {
   Priority,
   Repeatability,
 } from '../../configuration/configuration.js';
 
-/** Name of the protocol in the upgrade that opens a link, with its version. */
+/** Name and version of the protocol in the HTTP upgrade that opens a link. */
 export const framedProtocol = 'foxbarrow-link/1';
 
 /**
- * Bytes of one answer that a gate sends ahead of what the caller has taken. A
- * caller that reads slowly holds up its own answer and no other on the link;
- * 64 KiB fill a gigabit for half a millisecond, the round trip between domains.
+ * Bytes of one answer that a gate sends before the caller has taken them. The
+ * window lets a slow caller delay only its own answer and no other on the link.
+ * 64 KiB take half a millisecond on a link of 1 Gbit/s, which is the round-trip
+ * time between failure domains.
  */
 export const answerWindow = 64 * 1024;
 
-/** A call whose body, if any, is gathered. */
+/** A call without a body or with a complete one. */
 export interface CallFrame {
   readonly type: 'call';
   readonly call: number;
@@ -34,22 +36,22 @@
   readonly priority: Priority;
   readonly repeatability: Repeatability;
   readonly key: string | undefined;
-  /** Milliseconds left of its time. */
+  /** Milliseconds until the deadline. */
   readonly left: number;
-  /** Milliseconds in which an answer counts as good. */
+  /** Milliseconds within which an answer counts as good. */
   readonly goodFor: number;
 }
 
-/** What an entry says. */
+/** A frame from an entry. */
 export type EntryFrame =
   | CallFrame
-  /** The caller has left or its time is over. */
+  /** The caller has left or the deadline has passed. */
   | {readonly type: 'cancel'; readonly call: number}
-  /** The caller has taken so many bytes more of its answer. */
+  /** The caller has taken `bytes` more bytes of its answer. */
   | {readonly type: 'taken'; readonly call: number; readonly bytes: number}
   | {readonly type: 'ping'};
 
-/** What a gate says. */
+/** A frame from a gate. */
 export type GateFrame =
   | {
       readonly type: 'head';
@@ -57,7 +59,7 @@
       readonly status: number;
       readonly reason: string;
       readonly headers: string[];
-      /** The gate's running and waiting work over its slots. */
+      /** Number of running and waiting requests, divided by the slots. */
       readonly load: number;
     }
   | {readonly type: 'data'; readonly call: number; readonly chunk: Buffer}
@@ -67,10 +69,12 @@
       readonly type: 'refused';
       readonly call: number;
       readonly code: number;
-      /** Seconds after which asking again makes sense. */
+      /** Seconds after which the caller should retry. */
       readonly retryAfter: number;
       readonly load: number;
     }
   | {readonly type: 'pong'}
-  /** The gate's process stops; the entry sends no more calls on this link. */
+  /**
+   * The gate's process stops; the entry must send no more calls on this link.
+   */
   | {readonly type: 'leaving'};
--- a/src/request/transport/gate-call.ts
+++ b/src/request/transport/gate-call.ts
@@ -1,4 +1,4 @@
-/** What calls to gates have in common, whatever carries them. */
+/** Helpers for calls to gates, both over HTTP and over framed links. */
 import type {Code} from '../../result/code.js';
 import {Failure} from '../../result/failure.js';
 import {commonCodes} from '../../result/codes.js';
@@ -9,12 +9,15 @@
 import {refusal} from '../messages/refusal.js';
 
 /**
- * Milliseconds beyond the deadline for which an entry waits: the gate decides
- * at the deadline and knows better than the entry whether the work was run.
+ * Milliseconds for which an entry waits beyond the deadline. The gate answers
+ * at the deadline and knows better than the entry whether the request was run.
  */
 export const decisionMargin = 50;
 
-/** Whole milliseconds left of a call's time, and of the time it is good for. */
+/**
+ * Whole milliseconds until a call's deadline, and until an answer no longer
+ * counts as good.
+ */
 export function timeLeft(call: Call, clock: Clock) {
   const now = clock.now();
   const until = (end: number) => Math.max(0, Math.floor(end - now));
@@ -24,19 +27,25 @@
   };
 }
 
-/** A number from a newer program than this one says nothing about the work. */
+/**
+ * The result code with a number. A number that only a newer version defines
+ * says nothing about the request's effect, so it counts as a lost gate.
+ */
 export function codeOf(number: number): Code {
   return codes.get(number) ?? requestCodes.gateLost;
 }
 
-/** The codes that gates refuse with. */
+/** The result codes of refusals by gates, by number. */
 const codes: ReadonlyMap<number, Code> = new Map(
   [commonCodes, claimCodes, requestCodes]
     .flatMap<Code>(Object.values)
     .map(code => [code.number, code]),
 );
 
-/** Why a call has failed; `began` tells whether the gate may have read it. */
+/**
+ * The refusal for a call that failed; `began` tells whether the gate may have
+ * received a part of it.
+ */
 export function refusalForFailure(error: Error, began: boolean): Refusal {
   if (!began) return refusal(requestCodes.gateUnreachable, error.message);
   if (error instanceof Failure && error.code.effect === 'unknown') {
--- a/src/request/transport/http-call.ts
+++ b/src/request/transport/http-call.ts
@@ -1,7 +1,7 @@
 /**
- * One call to a gate on an HTTP connection of its own. A body that streams has
- * the connection's back-pressure, which would hold up other calls on a shared
- * link.
+ * One call to a gate over a separate HTTP connection. A streamed body needs the
+ * back-pressure of its connection, which would delay the other calls on a
+ * shared link.
  */
 import {Failure} from '../../result/failure.js';
 import type {Subscription, Timers} from '../../time/timers.js';
@@ -9,7 +9,12 @@
 import {requestCodes} from '../messages/codes.js';
 import type {ConnectionPool} from './connection-pool.js';
 import {delayUntil} from '../../time/deadline.js';
-import {codeOf, decisionMargin, refusalForFailure, timeLeft} from './gate-call.js';
+import {
+  codeOf,
+  decisionMargin,
+  refusalForFailure,
+  timeLeft,
+} from './gate-call.js';
 import {endToEndHeaders, findHeader, headerNames} from './headers.js';
 import type {Call, Cancel, Refusal} from '../messages/call.js';
 import type {GateTarget, Sending} from '../messages/hops.js';
@@ -20,7 +25,7 @@
 
 const millisecondsPerSecond = 1000;
 
-/** A call and the connections that it may use. */
+/** Options of `callOverHttp`. */
 export interface HttpCall {
   readonly call: Call;
   readonly bodyLimit: number;
@@ -32,50 +37,50 @@
   readonly foreign: ReadonlySet<string> | undefined;
 }
 
-/** Makes the call. */
+/** Sends a call over HTTP. */
 export function callOverHttp(options: HttpCall): Cancel {
   const {call, peer, answer, timers, safeguards, foreign} = options;
-  let limit: Subscription | undefined;
-  let refused = false;
-  let started = false;
-  let ended = false;
+  let deadlineTimer: Subscription | undefined;
+  let isRefused = false;
+  let isStarted = false;
+  let hasEnded = false;
 
   const receiver: ResponseReceiver = {
     began: () => {},
-    // The gate tells that the work was admitted; the upload may go on.
+    // The gate reports that the request was admitted; the upload may continue.
     interim: () => answer.admit(),
     head: (status, reason, raw) => {
       const load = findHeader(raw, headerNames.load);
       if (load !== undefined) peer.loaded(Number(load));
       const code = findHeader(raw, headerNames.code);
       if (code !== undefined) {
-        refused = true;
+        isRefused = true;
         answer.refuse(readRefusal(Number(code), raw));
         return;
       }
-      started = true;
+      isStarted = true;
       answer.start({status, reason, headers: endToEndHeaders(raw, {foreign})});
     },
     data: chunk => {
-      if (refused || answer.write(chunk)) return true;
+      if (isRefused || answer.write(chunk)) return true;
       answer.onDrain(() => sending?.resume());
       return false;
     },
     end: () => {
       end();
-      if (!refused) answer.end();
+      if (!isRefused) answer.end();
     },
     failed: (error, began) => {
       end();
-      if (refused) return;
-      if (started) answer.cut();
+      if (isRefused) return;
+      if (isStarted) answer.cut();
       else answer.refuse(refusalForFailure(error, began && safeguards.doubt));
     },
   };
 
   function end(): void {
-    ended = true;
-    limit?.cancel();
+    hasEnded = true;
+    deadlineTimer?.cancel();
   }
 
   const {method, path, body} = call;
@@ -89,14 +94,14 @@
     answer.refuse(refusal(requestCodes.full, 'too many calls to one gate'));
     return () => {};
   }
-  if (!ended) {
-    const left = delayUntil(call.deadline + decisionMargin, timers.now());
-    limit = timers.after(left, () =>
+  if (!hasEnded) {
+    const delay = delayUntil(call.deadline + decisionMargin, timers.now());
+    deadlineTimer = timers.after(delay, () =>
       sending.cancel(new Failure(requestCodes.deadlinePassed, 'no answer')),
     );
   }
   return () =>
-    sending.cancel(new Failure(requestCodes.callerLeft, 'caller left'));
+    sending.cancel(new Failure(requestCodes.callerLeft, 'the caller left'));
 }
 
 function headersOf(options: HttpCall): string[] {
--- a/src/request/transport/inspection.ts
+++ b/src/request/transport/inspection.ts
@@ -1,21 +1,28 @@
-/** What a request must not hold, beyond what the parser already refuses. */
+/** Checks of a request's head beyond those of the parser. */
 import type {IncomingMessage} from 'node:http';
 import {findRepeatedHeader, headerNames} from './headers.js';
 
-/** Headers that name one thing; given twice, hops could read different ones. */
-const singleValued = [headerNames.key, headerNames.timeout, 'host', 'content-type'];
+/**
+ * Headers that may occur only once; of two, each hop might use a different one.
+ */
+const singleValued = [
+  headerNames.key,
+  headerNames.timeout,
+  'host',
+  'content-type',
+];
 const dotSegment = /(^|\/)(\.|%2e){1,2}(\/|$)/i;
 const maxKeyLength = 256;
 
-/** The first fault of a request's head, as a message; undefined for none. */
+/** Describes the first fault of a request's head; undefined if it has none. */
 export function findFault(request: IncomingMessage): string | undefined {
   const {url = '', rawHeaders, headers, httpVersion} = request;
   if (!url.startsWith('/')) return 'the path does not begin with a slash';
   const path = url.split('?', 1)[0]!;
-  // The upstream may resolve them and so leave the route's prefix.
+  // The upstream might resolve them to a path outside the route's prefix.
   if (dotSegment.test(path)) return 'the path has dot segments';
-  const twice = findRepeatedHeader(rawHeaders, singleValued);
-  if (twice !== undefined) return `${twice} occurs twice`;
+  const repeatedHeader = findRepeatedHeader(rawHeaders, singleValued);
+  if (repeatedHeader !== undefined) return `${repeatedHeader} occurs twice`;
   const encoding = headers['transfer-encoding'];
   if (encoding !== undefined && encoding.toLowerCase() !== 'chunked') {
     return 'the transfer encoding is not chunked';
--- a/src/request/transport/pacing.ts
+++ b/src/request/transport/pacing.ts
@@ -1,23 +1,25 @@
 /**
- * The pace at which a VM takes in large bodies. They come from many senders at
- * once, each as fast as it can, and fill the link: then marks, lookups and
- * small requests for this VM wait behind them for a second and more. Read no
- * faster than a share of the link, they wait in their senders' windows.
+ * Limits the rates at which a VM reads large request bodies and sends answers.
+ *
+ * Many senders upload concurrently, each as fast as it can, and saturate the
+ * link. Freshness marks and small requests for this VM would then be delayed by
+ * a second or more. If the process reads large bodies at a share of the link's
+ * rate, TCP flow control holds the remaining bytes back at the senders.
  */
 import type {Clock} from '../../time/clock.js';
 import type {Timers} from '../../time/timers.js';
 
-/** The pace of all bodies of one process. */
+/** Limits the rate at which all large bodies of a process are read. */
 export interface UploadPacer {
-  /** Resolves once so many more bytes may be read. */
+  /** Resolves when `bytes` more bytes may be read. */
   take(bytes: number): Promise<void>;
 }
 
-/** Counts bytes against a rate. */
+/** Limits a byte rate and allows short bursts. */
 export interface TokenBucket {
-  /** Milliseconds until more bytes may pass; 0 or less for none. */
+  /** Milliseconds until more bytes may pass; 0 or less if they may pass now. */
   wait(): number;
-  /** So many bytes pass, whether they had to wait or not. */
+  /** Counts `bytes` that pass, even if `wait` asks for a delay. */
   consume(bytes: number): void;
 }
 
@@ -26,24 +28,24 @@
 const millisecondsPerSecond = 1000;
 
 /**
- * Share of the link that large bodies may take. The rest carries small
- * requests and control, a few kilobytes each, which wait where it is short.
+ * Share of the link's rate for large bodies. The rest is for small requests and
+ * control messages of a few kilobytes, which are delayed if it is too small.
  */
 const bodyShare = 0.9;
 
 /**
- * Share of the link that answers may take, small ones included. The rest is for
- * heads, requests, control and packets' own headers, which nobody counts; a link
- * that is full but for a hundredth makes each small answer wait.
+ * Share of the link's rate for answers, including small ones. The rest is for
+ * bytes that are not counted: heads, requests, control messages and packet
+ * headers. On a link with 99 % utilization every small answer is delayed.
  */
 const answerShare = 0.8;
 
-/** Bytes a second that large bodies may take of a link of `megabits` a second. */
+/** Bytes per second for large bodies on a link of `megabits` per second. */
 export function bodyRateOf(megabits: number): number {
   return bytesPerSecond(megabits) * bodyShare;
 }
 
-/** Bytes a second that answers may take of a link of `megabits` a second. */
+/** Bytes per second for answers on a link of `megabits` per second. */
 export function answerRateOf(megabits: number): number {
   return bytesPerSecond(megabits) * answerShare;
 }
@@ -52,12 +54,19 @@
   return (megabits * bitsPerMegabit) / bitsPerByte;
 }
 
-/** Milliseconds' worth of bytes that may come at once after a pause. */
+/** Size of a burst after a pause, in milliseconds at the limited rate. */
 const burst = 50;
 
-/** Creates a meter of `rate` bytes a second with so many milliseconds' burst. */
-export function createTokenBucket(rate: number, clock: Clock, burst: number): TokenBucket {
-  /** When all that was let through would have come at the rate. */
+/**
+ * Creates a token bucket that passes `rate` bytes per second, with bursts of as
+ * many bytes as the rate passes in `burst` milliseconds.
+ */
+export function createTokenBucket(
+  rate: number,
+  clock: Clock,
+  burst: number,
+): TokenBucket {
+  /** Time at which all consumed bytes would have passed at the rate. */
   let paidUntil = Number.NEGATIVE_INFINITY;
 
   return {
@@ -69,14 +78,14 @@
   };
 }
 
-/** Creates a pace of `rate` bytes a second. */
+/** Creates a pacer that lets `rate` bytes per second be read. */
 export function createUploadPacer(rate: number, timers: Timers): UploadPacer {
-  const meter = createTokenBucket(rate, timers, burst);
+  const bucket = createTokenBucket(rate, timers, burst);
 
   return {
     take(bytes) {
-      const wait = meter.wait();
-      meter.consume(bytes);
+      const wait = bucket.wait();
+      bucket.consume(bytes);
       if (wait <= 0) return Promise.resolve();
       return new Promise(resolve => void timers.after(wait, resolve));
     },
--- a/src/request/transport/rate-average.ts
+++ b/src/request/transport/rate-average.ts
@@ -1,33 +1,35 @@
 import type {Clock} from '../../time/clock.js';
 
-/** Bytes a second of late. */
+/** An exponentially weighted moving average of a rate in bytes per second. */
 export interface RateAverage {
   add(bytes: number): void;
   rate(): number;
 }
 
-/** Milliseconds after which what came weighs a third of what comes now. */
-const span = 1000;
+/**
+ * Milliseconds after which bytes have a third (1/e) of their initial weight.
+ */
+const timeConstant = 1000;
 const millisecondsPerSecond = 1000;
 
-/** Creates an average that has seen nothing yet. */
+/** Creates an average of 0. */
 export function createRateAverage(clock: Clock): RateAverage {
   let average = 0;
-  let at = clock.now();
+  let updatedAt = clock.now();
 
-  function age(): void {
+  function decay(): void {
     const now = clock.now();
-    average *= Math.exp((at - now) / span);
-    at = now;
+    average *= Math.exp((updatedAt - now) / timeConstant);
+    updatedAt = now;
   }
 
   return {
     add: bytes => {
-      age();
-      average += (bytes * millisecondsPerSecond) / span;
+      decay();
+      average += (bytes * millisecondsPerSecond) / timeConstant;
     },
     rate: () => {
-      age();
+      decay();
       return average;
     },
   };
--- a/src/request/transport/refusal-answer.ts
+++ b/src/request/transport/refusal-answer.ts
@@ -1,11 +1,11 @@
-/** How a refusal is told over HTTP. */
+/** The format of refusals over HTTP. */
 import type {Refusal} from '../messages/call.js';
 import {headerNames} from './headers.js';
 
-/** A refusal as it goes to the caller. */
+/** A refusal as it is sent to the caller. */
 export interface RefusalAnswer {
   readonly status: number;
-  /** Names and values by turns, without the body's length. */
+  /** Alternating names and values, without `content-length`. */
   readonly headers: string[];
   readonly body: string;
 }
@@ -18,7 +18,7 @@
   readonly message: string;
 }
 
-/** What a refusal tells in its body. */
+/** The body of a refusal. */
 export function refusalBodyOf(refusal: Refusal): RefusalBody {
   const {number, name, effect, meaning} = refusal.code;
   const message =
@@ -26,7 +26,7 @@
   return {code: number, name, effect, message};
 }
 
-/** A refusal in the product's own form. */
+/** Formats a refusal in foxbarrow's own format. */
 export function formatRefusal(refusal: Refusal): RefusalAnswer {
   return {
     status: refusal.code.status,
@@ -37,7 +37,7 @@
 
 const millisecondsPerSecond = 1000;
 
-/** Headers of a refusal, names and values by turns. */
+/** Headers of a refusal, as alternating names and values. */
 function refusalHeaders(refusal: Refusal): string[] {
   return [
     'content-type',
--- a/src/request/transport/upstream-link.ts
+++ b/src/request/transport/upstream-link.ts
@@ -1,4 +1,4 @@
-/** The connections between a gate and its upstream, in the upstream's dialect. */
+/** Sends a gate's calls to its upstream in the upstream's protocol. */
 import type {
   Sending,
   UpstreamLink,
@@ -22,7 +22,7 @@
 /** Creates the link to one upstream. */
 export function createUpstreamLink(options: UpstreamLinkOptions): UpstreamLink {
   const {connections, protocol, safeguards} = options;
-  const passing = {
+  const headerOptions = {
     dropsInternal: safeguards.internalHeaders,
     foreign: protocol.foreign,
   };
@@ -32,11 +32,15 @@
       began: () => receiver.began(),
       interim: () => {},
       head: (status, reason, raw) => {
-        const judgement = safeguards.framing
+        const fault = safeguards.framing
           ? protocol.checkAnswer(call, {status, headers: raw})
           : undefined;
-        if (judgement !== undefined) return receiver.unfit(judgement);
-        receiver.head({status, reason, headers: endToEndHeaders(raw, passing)});
+        if (fault !== undefined) return receiver.unfit(fault);
+        receiver.head({
+          status,
+          reason,
+          headers: endToEndHeaders(raw, headerOptions),
+        });
       },
       data: chunk => receiver.data(chunk),
       end: () => receiver.end(),
@@ -45,9 +49,9 @@
   }
 
   return {
-    send: (call, left, receiver): Sending | undefined => {
+    send: (call, timeLeft, receiver): Sending | undefined => {
       const {method, path, body} = call;
-      const headers = [...call.headers, ...protocol.headers(call, left)];
+      const headers = [...call.headers, ...protocol.headers(call, timeLeft)];
       const outgoing = {method, path, headers, body};
       return sendRequest(connections, outgoing, translate(call, receiver));
     },
