--- a/src/request/outgoing-link.test.ts
+++ b/src/request/outgoing-link.test.ts
@@ -21,7 +21,7 @@
 const slots = 9;
 const frameBytes = 200;
 
-/** What is asked of the gate; times in milliseconds. */
+/** A kind of request to the gate; times in milliseconds. */
 interface Kind {
   readonly policy: string;
   readonly bytes: number;
@@ -48,7 +48,9 @@
   priority: 'normal',
 };
 
-/** A link whose frames leave one after the other at its rate. */
+/**
+ * Creates a link that delivers its frames one after the other at `linkRate`.
+ */
 function createSlowLink(
   timers: FakeTimers,
   deliver: (frame: GateFrame) => void,
@@ -82,46 +84,48 @@
     close(): void {}
     destroy(): void {}
   })();
-  return {link, hear: (frame: EntryFrame) => receive(frame)};
+  return {link, receive: (frame: EntryFrame) => receive(frame)};
 }
 
-/** An instance that works for as long as a kind takes and answers in parts. */
+/**
+ * Creates an instance that works for the time of a kind and answers in parts.
+ */
 function createWorker(
   timers: FakeTimers,
   kindOf: (policy: string) => Kind,
 ): UpstreamLink {
   return {
-    send: (call, _left, receiver) => {
+    send: (call, _timeLeft, receiver) => {
       const {work, bytes} = kindOf(call.policy!);
-      let left = bytes;
-      let isOver = false;
-      function pour(): void {
-        while (left > 0 && !isOver) {
-          const part = Math.min(left, 16 * 1024);
-          left -= part;
+      let remaining = bytes;
+      let hasEnded = false;
+      function writeParts(): void {
+        while (remaining > 0 && !hasEnded) {
+          const part = Math.min(remaining, 16 * 1024);
+          remaining -= part;
           if (!receiver.data(Buffer.alloc(part))) return;
         }
-        if (!isOver) receiver.end();
-        isOver = true;
+        if (!hasEnded) receiver.end();
+        hasEnded = true;
       }
       function stop(reason: Error): void {
-        if (isOver) return;
-        isOver = true;
+        if (hasEnded) return;
+        hasEnded = true;
         receiver.failed(reason, true);
       }
       receiver.began();
       timers.after(work, () => {
-        if (isOver) return;
+        if (hasEnded) return;
         const headers = ['content-length', String(bytes)];
         receiver.head({status: 200, reason: '', headers});
-        pour();
+        writeParts();
       });
-      return {resume: pour, close: stop, cancel: stop};
+      return {resume: writeParts, close: stop, cancel: stop};
     },
   };
 }
 
-function createStage(timers: FakeTimers) {
+function createFixture(timers: FakeTimers) {
   const rate = answerRateOf(megabits);
   const egressQueue = createEgressQueue({rate, timers});
   const reservations = createEgressReservations({
@@ -169,24 +173,24 @@
   return policy === archive.policy ? archive : lookup;
 }
 
-/** What became of the calls of one kind. */
+/** The results of the calls of one kind. */
 interface Tally {
-  asked: number;
+  sent: number;
   answered: number;
   inTime: number;
-  /** Answers that came within 25 ms of their work's end. */
+  /** Answers that arrived within 25 ms after the instance had finished. */
   prompt: number;
   refused: number;
-  /** Longest time until a refusal, in milliseconds. */
+  /** Maximum time until a refusal, in milliseconds. */
   slowestRefusal: number;
-  /** Loads told with refusals. */
+  /** Loads reported with refusals. */
   readonly refusedAt: number[];
   readonly loads: number[];
 }
 
 function createTally(): Tally {
   return {
-    asked: 0,
+    sent: 0,
     answered: 0,
     inTime: 0,
     prompt: 0,
@@ -197,28 +201,28 @@
   };
 }
 
-/** What entries say of the calls of a play. */
-interface Terms {
-  /** Whether they know until when answers are good. */
-  readonly knowsGoodFor: boolean;
+/** Options of `simulate`. */
+interface SimulationOptions {
+  /** Whether entries send the time within which an answer is good. */
+  readonly sendsGoodFor: boolean;
   readonly lookup: Kind;
-  /** Share of the link that requests and control take; 0 unless given. */
+  /** Share of the link that other traffic takes; defaults to 0. */
   readonly otherShare?: number;
 }
 
-/** Plays so many milliseconds of lookups and archives at a gate with a full link. */
-async function play(
+/** Simulates `duration` milliseconds of lookups and archives at a gate. */
+async function simulate(
   duration: number,
-  {knowsGoodFor, lookup, otherShare = 0}: Terms,
+  {sendsGoodFor, lookup, otherShare = 0}: SimulationOptions,
 ) {
   const timers = createFakeTimers();
   const random = createRandom(3);
-  const asked = new Map<number, {kind: Kind; at: number}>();
+  const requests = new Map<number, {kind: Kind; at: number}>();
   const tallies = new Map([lookup, archive].map(kind => [kind, createTally()]));
-  let last = 0;
-  const {link, hear} = createSlowLink(timers, deliver);
+  let lastCall = 0;
+  const {link, receive} = createSlowLink(timers, deliver);
   const gate = createFramedGate({
-    ...createStage(timers),
+    ...createFixture(timers),
     timers,
     log: createSilentLog(),
     safeguards: allSafeguards,
@@ -227,30 +231,30 @@
 
   function deliver(frame: GateFrame): void {
     if (!('call' in frame)) return;
-    const one = asked.get(frame.call);
-    if (one === undefined) return;
-    const tally = tallies.get(one.kind)!;
-    const took = timers.now() - one.at;
+    const request = requests.get(frame.call);
+    if (request === undefined) return;
+    const tally = tallies.get(request.kind)!;
+    const elapsed = timers.now() - request.at;
     if (frame.type === 'head') tally.loads.push(frame.load);
     if (frame.type === 'data') {
-      hear({type: 'taken', call: frame.call, bytes: frame.chunk.length});
+      receive({type: 'taken', call: frame.call, bytes: frame.chunk.length});
     }
     if (frame.type === 'end') {
       tally.answered++;
-      if (took <= one.kind.goodFor) tally.inTime++;
-      if (took <= one.kind.work + 25) tally.prompt++;
+      if (elapsed <= request.kind.goodFor) tally.inTime++;
+      if (elapsed <= request.kind.work + 25) tally.prompt++;
     }
     if (frame.type === 'refused') {
       tally.refused++;
       tally.refusedAt.push(frame.load);
-      tally.slowestRefusal = Math.max(tally.slowestRefusal, took);
+      tally.slowestRefusal = Math.max(tally.slowestRefusal, elapsed);
     }
   }
 
-  function ask(kind: Kind): void {
-    const call = ++last;
-    asked.set(call, {kind, at: timers.now()});
-    tallies.get(kind)!.asked++;
+  function sendCall(kind: Kind): void {
+    const call = ++lastCall;
+    requests.set(call, {kind, at: timers.now()});
+    tallies.get(kind)!.sent++;
     const frame: CallFrame = {
       type: 'call',
       call,
@@ -267,15 +271,15 @@
       repeatability: 'idempotent',
       key: undefined,
       left: kind.goodFor * 2.5,
-      goodFor: kind.goodFor * (knowsGoodFor ? 1 : 2.5),
+      goodFor: kind.goodFor * (sendsGoodFor ? 1 : 2.5),
     };
-    hear(frame);
+    receive(frame);
   }
 
   const tick = 2;
   timers.every(tick, () => {
     for (const kind of [lookup, archive]) {
-      if (random.fraction() < (kind.perSecond * tick) / 1000) ask(kind);
+      if (random.fraction() < (kind.perSecond * tick) / 1000) sendCall(kind);
     }
   });
   const otherBytes = 1500;
@@ -289,45 +293,47 @@
   return {lookups: tallies.get(lookup)!, archives: tallies.get(archive)!};
 }
 
-// Archives for more than the link carries: small answers wait behind them on
-// their way out, and archives hold their slots until they have left.
-test('lookups are in time beside archives that fill the link out', async t => {
-  const {lookups, archives} = await play(8000, {knowsGoodFor: true, lookup});
-  const told = JSON.stringify({lookups, archives}, (key, value) =>
+// The answers to archive requests exceed the capacity of the outgoing link.
+// Small answers may be delayed behind them, and archive requests occupy their
+// slots until their answers are sent.
+test('lookups are in time while archives saturate the outgoing link', async t => {
+  const {lookups, archives} = await simulate(8000, {sendsGoodFor: true, lookup});
+  const results = JSON.stringify({lookups, archives}, (key, value) =>
     Array.isArray(value) ? Math.max(...(value as number[])) : (value as number),
   );
-  t.true(lookups.inTime / lookups.asked > 0.95, told);
-  t.true(archives.inTime / archives.answered > 0.9, told);
+  t.true(lookups.inTime / lookups.sent > 0.95, results);
+  t.true(archives.inTime / archives.answered > 0.9, results);
   const carried = (archives.inTime * archive.bytes) / 8 / linkRate;
-  t.true(carried > 0.75, `${carried} of the link: ${told}`);
-  // A small queueing before the refusal leaves is the burst of others.
-  t.true(archives.refused > 0 && archives.slowestRefusal < 60, told);
-  t.true(Math.min(...archives.refusedAt) > 0.9, told);
-  t.true(Math.max(...lookups.loads) < 1.5, told);
+  t.true(carried > 0.75, `${carried} of the link: ${results}`);
+  // The short delay of a refusal comes from the bursts of other answers.
+  t.true(archives.refused > 0 && archives.slowestRefusal < 60, results);
+  t.true(Math.min(...archives.refusedAt) > 0.9, results);
+  t.true(Math.max(...lookups.loads) < 1.5, results);
 });
 
-// Entries know only the deadline of rare requests, and urgent lookups go first:
-// archives wait for slots, keep room on the link meanwhile, and leave late.
-test('archives behind urgent lookups are in time or refused', async t => {
+// Entries send only the deadlines of rare requests, and critical lookups are
+// admitted first. Archive requests that wait for slots keep their reservations
+// of the link meanwhile and are sent late.
+test('archives that wait behind critical lookups are in time or refused', async t => {
   const urgent: Kind = {...lookup, perSecond: 120, priority: 'critical'};
-  const {lookups, archives} = await play(8000, {
-    knowsGoodFor: false,
+  const {lookups, archives} = await simulate(8000, {
+    sendsGoodFor: false,
     lookup: urgent,
   });
-  const told = JSON.stringify({lookups, archives}, (key, value) =>
+  const results = JSON.stringify({lookups, archives}, (key, value) =>
     Array.isArray(value) ? Math.max(...(value as number[])) : (value as number),
   );
-  t.true(lookups.inTime / lookups.asked > 0.95, told);
-  t.true(archives.inTime / archives.answered > 0.9, told);
+  t.true(lookups.inTime / lookups.sent > 0.95, results);
+  t.true(archives.inTime / archives.answered > 0.9, results);
   const carried = (archives.inTime * archive.bytes) / 8 / linkRate;
-  t.true(carried > 0.7, `${carried} of the link: ${told}`);
+  t.true(carried > 0.7, `${carried} of the link: ${results}`);
 });
 
-// A caller's run makes two lookups one after the other. Beside archives at nine
-// tenths of the link and all that nobody counts, each is held up on its way out.
-test('lookups are prompt on a link that carries other things too', async t => {
-  const {lookups} = await play(8000, {
-    knowsGoodFor: true,
+// A caller makes two lookups one after the other. If archives take nine tenths
+// of the link and other traffic takes some of the rest, each lookup is delayed.
+test('lookups are prompt on a link that carries other traffic too', async t => {
+  const {lookups} = await simulate(8000, {
+    sendsGoodFor: true,
     lookup,
     otherShare: 0.08,
   });
--- a/src/request/quarantine.test.ts
+++ b/src/request/quarantine.test.ts
@@ -15,7 +15,7 @@
 const path = '/stock/7';
 const life = lifeOf('stock-desk-1', 1);
 
-/** A mesh whose upstreams break off on `path` and answer all else. */
+/** Starts a mesh whose upstreams crash on `path` and answer other requests. */
 async function start(options: Partial<MeshOptions> = {}) {
   let configuration = stockConfiguration;
   const runs: string[] = [];
@@ -56,10 +56,10 @@
   };
 }
 
-type Stage = Awaited<ReturnType<typeof start>>;
+type Fixture = Awaited<ReturnType<typeof start>>;
 
-async function ask({url}: Mesh, asked = path) {
-  const {statusCode, headers, body} = await request(`${url}${asked}`);
+async function ask({url}: Mesh, requestPath = path) {
+  const {statusCode, headers, body} = await request(`${url}${requestPath}`);
   await body.dump();
   return {
     status: statusCode,
@@ -69,17 +69,17 @@
   };
 }
 
-/** Has upstreams end under the request; gives what its gates told of it. */
-async function crash({mesh, suspects, runs}: Stage): Promise<Suspect> {
+/** Lets upstreams crash on the request and returns the reported suspect. */
+async function crash({mesh, suspects, runs}: Fixture): Promise<Suspect> {
   await ask(mesh);
   await mesh.timers.advanceAsync(50);
   runs.length = 0;
   return suspects[0]!;
 }
 
-/** Waits for what real sockets bring about, while time stands still. */
-async function until(isSo: () => boolean): Promise<void> {
-  while (!isSo()) await settle(1);
+/** Waits for effects of real sockets without advancing the time. */
+async function until(condition: () => boolean): Promise<void> {
+  while (!condition()) await settle(1);
 }
 
 function quarantineOf(suspect: Suspect, changes: Partial<Quarantine> = {}) {
@@ -94,49 +94,49 @@
   } as Quarantine;
 }
 
-test('a gate tells which requests ran when its upstream ended', async t => {
-  const stage = await start();
-  const {request: described, service} = await crash(stage);
+test('a gate reports the requests that were running when its upstream crashed', async t => {
+  const fixture = await start();
+  const {request: described, service} = await crash(fixture);
   t.is(described, `GET ${path}`);
   t.is(service, 'stock-desk');
-  await stage.mesh.close();
+  await fixture.mesh.close();
 });
 
-test('a connection that breaks under an upstream that goes on makes nobody suspect', async t => {
-  const stage = await start({gate: {isListening: async () => true}});
-  t.is(await crash(stage), undefined as unknown as Suspect);
-  await stage.mesh.close();
+test('a broken connection to an upstream that still listens reports no suspects', async t => {
+  const fixture = await start({gate: {isListening: async () => true}});
+  t.is(await crash(fixture), undefined as unknown as Suspect);
+  await fixture.mesh.close();
 });
 
-test('without the safeguard a held request goes on ending instances', async t => {
+test('without the safeguard a quarantined request crashes further instances', async t => {
   const safeguards = {quarantine: false};
-  const stage = await start({entry: {safeguards}, gate: {safeguards}});
-  stage.put(quarantineOf(await crash(stage)));
-  t.is((await ask(stage.mesh)).code, requestCodes.upstreamLost.number);
-  t.is(stage.runs.length, 2);
-  await stage.mesh.close();
+  const fixture = await start({entry: {safeguards}, gate: {safeguards}});
+  fixture.put(quarantineOf(await crash(fixture)));
+  t.is((await ask(fixture.mesh)).code, requestCodes.upstreamLost.number);
+  t.is(fixture.runs.length, 2);
+  await fixture.mesh.close();
 });
 
-test('a held request gets a final answer at once and reaches no upstream', async t => {
-  const stage = await start();
-  stage.put(quarantineOf(await crash(stage)));
-  const {status, code, effect, retryAfter} = await ask(stage.mesh);
+test('a quarantined request is refused at once and reaches no upstream', async t => {
+  const fixture = await start();
+  fixture.put(quarantineOf(await crash(fixture)));
+  const {status, code, effect, retryAfter} = await ask(fixture.mesh);
   t.is(status, 503);
   t.is(code, requestCodes.quarantined.number);
   t.is(effect, 'not-run');
   t.is(retryAfter, 600);
-  t.is((await ask(stage.mesh, '/stock/8')).status, 200);
-  t.deepEqual(stage.runs, ['/stock/8']);
-  await stage.mesh.close();
+  t.is((await ask(fixture.mesh, '/stock/8')).status, 200);
+  t.deepEqual(fixture.runs, ['/stock/8']);
+  await fixture.mesh.close();
 });
 
-test('a request that is held while it is retried is not told as not run', async t => {
-  const stage = await start();
-  const suspect = await crash(stage);
+test('a request that is quarantined during its retries is not refused as not run', async t => {
+  const fixture = await start();
+  const suspect = await crash(fixture);
   const held = quarantineOf(suspect);
-  const {mesh, runs} = stage;
+  const {mesh, runs} = fixture;
   for (const {upstream} of mesh.members) {
-    upstream.prependListener('request', () => stage.put(held));
+    upstream.prependListener('request', () => fixture.put(held));
   }
   const {code, effect} = await ask(mesh);
   t.is(code, requestCodes.upstreamLost.number);
@@ -145,36 +145,36 @@
   await mesh.close();
 });
 
-test('a gate whose entry has not heard yet holds the request too', async t => {
-  const stage = await start({
+test('a gate refuses a quarantined request whose entry does not have the quarantine yet', async t => {
+  const fixture = await start({
     entry: {configuration: () => stockConfiguration},
   });
-  stage.put(quarantineOf(await crash(stage)));
-  t.is((await ask(stage.mesh)).code, requestCodes.quarantined.number);
-  t.deepEqual(stage.runs, []);
-  await stage.mesh.close();
+  fixture.put(quarantineOf(await crash(fixture)));
+  t.is((await ask(fixture.mesh)).code, requestCodes.quarantined.number);
+  t.deepEqual(fixture.runs, []);
+  await fixture.mesh.close();
 });
 
-test('a trial runs once, at the life that it names', async t => {
-  const stage = await start();
-  const suspect = await crash(stage);
-  stage.put(
+test('a trial runs once, at the incarnation that it names', async t => {
+  const fixture = await start();
+  const suspect = await crash(fixture);
+  fixture.put(
     quarantineOf(suspect, {state: 'on-trial', trials: 1, trialAt: life}),
   );
-  const first = await ask(stage.mesh);
+  const first = await ask(fixture.mesh);
   t.is(first.code, requestCodes.upstreamLost.number);
-  t.is((await ask(stage.mesh)).code, requestCodes.quarantined.number);
-  t.is(stage.runs.length, 1);
+  t.is((await ask(fixture.mesh)).code, requestCodes.quarantined.number);
+  t.is(fixture.runs.length, 1);
   const elsewhere = {state: 'on-trial', trials: 2, trialAt: 'gone/1'} as const;
-  stage.put(quarantineOf(suspect, elsewhere));
-  t.is((await ask(stage.mesh)).code, requestCodes.quarantined.number);
-  t.is(stage.runs.length, 1);
-  await stage.mesh.close();
+  fixture.put(quarantineOf(suspect, elsewhere));
+  t.is((await ask(fixture.mesh)).code, requestCodes.quarantined.number);
+  t.is(fixture.runs.length, 1);
+  await fixture.mesh.close();
 });
 
-test('a trial whose caller left is not told as untried when the instance ends later', async t => {
+test('a trial whose caller disconnected is reported when the instance crashes later', async t => {
   let isHeld = false;
-  const stage = await start({
+  const fixture = await start({
     upstreams: [
       (req, res) => {
         if (req.url === '/stock/hangs') isHeld = true;
@@ -183,10 +183,10 @@
       },
     ],
   });
-  const {mesh, suspects} = stage;
+  const {mesh, suspects} = fixture;
   const trial = {state: 'on-trial', trials: 1, trialAt: life} as const;
   const [hanging] = suspectsOf([callOf({path: '/stock/hangs', headers: []})]);
-  stage.put(quarantineOf(hanging!, trial));
+  fixture.put(quarantineOf(hanging!, trial));
   const leaving = new AbortController();
   const left = request(`${mesh.url}/stock/hangs`, {signal: leaving.signal});
   await until(() => isHeld);
@@ -196,54 +196,54 @@
   await until(() => mesh.members[0]!.gate.running === 0);
   await ask(mesh, '/stock/other');
   await mesh.timers.advanceAsync(50);
-  const told = new Set(suspects.map(suspect => suspect.request));
-  t.deepEqual([...told].sort(), ['GET /stock/hangs', 'GET /stock/other']);
+  const reported = new Set(suspects.map(suspect => suspect.request));
+  t.deepEqual([...reported].sort(), ['GET /stock/hangs', 'GET /stock/other']);
   await mesh.close();
 });
 
 test('an answer clears a watched request and one on trial', async t => {
-  const stage = await start();
-  const suspect = await crash(stage);
-  stage.fix();
-  stage.put(quarantineOf(suspect, {state: 'watched'}));
-  t.is((await ask(stage.mesh)).status, 200);
-  stage.put(
+  const fixture = await start();
+  const suspect = await crash(fixture);
+  fixture.fix();
+  fixture.put(quarantineOf(suspect, {state: 'watched'}));
+  t.is((await ask(fixture.mesh)).status, 200);
+  fixture.put(
     quarantineOf(suspect, {state: 'on-trial', trials: 1, trialAt: life}),
   );
-  t.is((await ask(stage.mesh)).status, 200);
-  t.deepEqual(stage.cleared, [suspect.name, suspect.name]);
-  await stage.mesh.close();
+  t.is((await ask(fixture.mesh)).status, 200);
+  t.deepEqual(fixture.cleared, [suspect.name, suspect.name]);
+  await fixture.mesh.close();
 });
 
-test('a request that is answered after an instance broke off under it is told to be well', async t => {
+test('a request that is answered after an attempt crashed an instance is reported as cleared', async t => {
   const cleared: string[] = [];
-  const stage = await start({
+  const fixture = await start({
     entry: {onCleared: name => cleared.push(name)},
   });
-  for (const {upstream} of stage.mesh.members) {
+  for (const {upstream} of fixture.mesh.members) {
     upstream.prependListener('request', () => {
-      if (stage.runs.length > 0) stage.fix();
+      if (fixture.runs.length > 0) fixture.fix();
     });
   }
-  t.is((await ask(stage.mesh)).status, 200);
-  await stage.mesh.timers.advanceAsync(50);
+  t.is((await ask(fixture.mesh)).status, 200);
+  await fixture.mesh.timers.advanceAsync(50);
   t.deepEqual(
     cleared,
-    stage.suspects.map(({name}) => name),
+    fixture.suspects.map(({name}) => name),
   );
   t.is(cleared.length, 1);
-  t.is((await ask(stage.mesh, '/stock/8')).status, 200);
+  t.is((await ask(fixture.mesh, '/stock/8')).status, 200);
   t.is(cleared.length, 1);
-  await stage.mesh.close();
+  await fixture.mesh.close();
 });
 
-test('a body in chunks is told from another as one with a length is', async t => {
-  const stage = await start({
+test('a request is identified by its body, with a length and in chunks alike', async t => {
+  const fixture = await start({
     upstreams: [
       (req, res) => {
         req.resume();
         req.once('end', () => {
-          stage.runs.push(req.url!);
+          fixture.runs.push(req.url!);
           if (isCrashing) req.socket.destroy();
           else res.end('ok');
         });
@@ -255,7 +255,7 @@
     const sent = isChunked
       ? Readable.from([text.slice(0, 2), text.slice(2)])
       : text;
-    const {statusCode, body} = await request(`${stage.mesh.url}/bookings`, {
+    const {statusCode, body} = await request(`${fixture.mesh.url}/bookings`, {
       method: 'POST',
       body: sent,
     });
@@ -263,14 +263,14 @@
     return statusCode;
   };
   await post('crash', true);
-  await stage.mesh.timers.advanceAsync(50);
+  await fixture.mesh.timers.advanceAsync(50);
   isCrashing = false;
-  t.is(stage.suspects.length, 1);
-  stage.put(quarantineOf(stage.suspects[0]!));
+  t.is(fixture.suspects.length, 1);
+  fixture.put(quarantineOf(fixture.suspects[0]!));
   t.is(await post('crash', false), 503);
   t.is(await post('crash', true), 503);
   t.is(await post('works', true), 200);
   t.is(await post('works', false), 200);
-  t.is(stage.runs.length, 3);
-  await stage.mesh.close();
+  t.is(fixture.runs.length, 3);
+  await fixture.mesh.close();
 });
--- a/src/request/route-finder.test.ts
+++ b/src/request/route-finder.test.ts
@@ -25,14 +25,14 @@
   t.is(find(stockConfiguration, '/stock/7'), 'stock');
 });
 
-test('before the first configuration no caller hears that its route does not exist', t => {
-  // The system has just started and a quorum confirms that nothing was accepted
-  // yet. A caller that hears 404 gives its request up for good, though the
-  // operator's first configuration, a second later, has the route.
+test('before the first configuration no request is refused for a missing route', t => {
+  // The system has just started, and a quorum confirms that no configuration
+  // was accepted yet. A caller that receives 404 would not retry, although the
+  // operator's first configuration contains the route a second later.
   t.is(find(emptyConfiguration, '/stock/7'), requestCodes.noConfiguration);
   t.is(find(undefined, '/stock/7'), requestCodes.noConfiguration);
 });
 
-test('a path without a route is told so once a configuration is there', t => {
+test('a path without a route is refused with no-route once a configuration exists', t => {
   t.is(find(stockConfiguration, '/nowhere'), requestCodes.noRoute);
 });
--- a/src/request/transport/egress-queue.test.ts
+++ b/src/request/transport/egress-queue.test.ts
@@ -7,12 +7,12 @@
 const rate = 1_000_000;
 const large = 100_000;
 
-function stage() {
+function createFixture() {
   const timers = createFakeTimers();
   const egressQueue = createEgressQueue({rate, timers});
   const written = {total: 0};
-  /** An answer by the egress queue, and what came out of it. */
-  function open(takes: (bytes: number) => boolean = () => true) {
+  /** Creates an answer in the egress queue, and records what it writes. */
+  function openAnswer(takes: (bytes: number) => boolean = () => true) {
     const inner = createFakeAnswer();
     const state = {bytes: 0, end: 'none', resume: () => {}};
     const receiver: Answer = Object.assign(inner, {
@@ -29,13 +29,13 @@
     answer.start({status: 200, reason: '', headers: []});
     return {answer, state};
   }
-  return {timers, egressQueue, open, written};
+  return {timers, egressQueue, openAnswer, written};
 }
 
-test('large answers leave one after the other at the rate', t => {
-  const {timers, egressQueue, open, written} = stage();
-  const first = open();
-  const second = open();
+test('large answers are sent one after the other at the rate', t => {
+  const {timers, egressQueue, openAnswer, written} = createFixture();
+  const first = openAnswer();
+  const second = openAnswer();
   for (const {answer} of [first, second]) {
     answer.write(Buffer.alloc(large));
     answer.end();
@@ -50,10 +50,10 @@
   t.is(egressQueue.waiting, 0);
 });
 
-test('a small answer leaves at once beside large ones', t => {
-  const {open} = stage();
-  open().answer.write(Buffer.alloc(large));
-  const small = open();
+test('a small answer is sent at once while large ones wait', t => {
+  const {openAnswer} = createFixture();
+  openAnswer().answer.write(Buffer.alloc(large));
+  const small = openAnswer();
   small.answer.write(Buffer.alloc(400));
   small.answer.end();
   t.is(small.state.bytes, 400);
@@ -61,11 +61,11 @@
 });
 
 test('small answers count against the rate of the large ones', t => {
-  const {timers, open, written} = stage();
-  open().answer.write(Buffer.alloc(10 * large));
+  const {timers, openAnswer, written} = createFixture();
+  openAnswer().answer.write(Buffer.alloc(10 * large));
   const period = 10;
   timers.every(period, () => {
-    const small = open();
+    const small = openAnswer();
     small.answer.write(Buffer.alloc(5_000));
     small.answer.end();
   });
@@ -73,10 +73,10 @@
   t.true(written.total < 1.06 * rate, `${written.total}`);
 });
 
-test('a receiver that takes no more holds up its own answer alone', t => {
-  const {timers, egressQueue, open} = stage();
-  const slow = open(bytes => bytes < 30_000);
-  const next = open();
+test('a blocked receiver delays only its own answer', t => {
+  const {timers, egressQueue, openAnswer} = createFixture();
+  const slow = openAnswer(bytes => bytes < 30_000);
+  const next = openAnswer();
   for (const {answer} of [slow, next]) {
     answer.write(Buffer.alloc(large));
     answer.end();
@@ -87,7 +87,7 @@
   t.is(
     egressQueue.waiting,
     0,
-    'what waits for a receiver does not wait for the link',
+    'bytes that wait for a receiver are not counted as waiting for the link',
   );
   for (let turn = 0; turn < 20; turn++) {
     slow.state.resume();
@@ -97,9 +97,9 @@
   t.is(slow.state.bytes, large);
 });
 
-test('a sender is held up once much waits, and called when there is room', t => {
-  const {timers, open} = stage();
-  const {answer} = open();
+test('a sender is paused at the buffer limit and resumed when there is room', t => {
+  const {timers, openAnswer} = createFixture();
+  const {answer} = openAnswer();
   let parts = 0;
   while (answer.write(Buffer.alloc(large))) parts++;
   t.true(parts < 12, `${parts}`);
@@ -111,10 +111,10 @@
 });
 
 for (const end of ['cut', 'drop'] as const) {
-  test(`an answer that ends early lets go of what waits, by ${end}`, t => {
-    const {timers, egressQueue, open} = stage();
-    const first = open();
-    const second = open();
+  test(`an answer that ends early releases its buffered bytes, by ${end}`, t => {
+    const {timers, egressQueue, openAnswer} = createFixture();
+    const first = openAnswer();
+    const second = openAnswer();
     first.answer.write(Buffer.alloc(large));
     second.answer.write(Buffer.alloc(large));
     first.answer[end]();
@@ -130,15 +130,15 @@
   });
 }
 
-test('an answer without an end does not hold up the large ones behind it', t => {
-  const {timers, open} = stage();
-  const endless = open();
-  function goOn(): void {
+test('an endless answer does not block the large ones behind it', t => {
+  const {timers, openAnswer} = createFixture();
+  const endless = openAnswer();
+  function writeMore(): void {
     while (endless.answer.write(Buffer.alloc(large)));
-    endless.answer.onDrain(goOn);
+    endless.answer.onDrain(writeMore);
   }
-  goOn();
-  const second = open();
+  writeMore();
+  const second = openAnswer();
   second.answer.write(Buffer.alloc(large));
   second.answer.end();
   timers.advance(1000);
@@ -146,10 +146,11 @@
   t.true(endless.state.bytes > 0.85 * rate, `${endless.state.bytes}`);
 });
 
-// Keyed work goes on without its caller, and its answer is kept for resends.
-test('a sender that is held up goes on once its receiver has gone', t => {
-  const {timers, open} = stage();
-  const {answer} = open();
+// A request with an idempotency key continues after its caller has left, and
+// its answer is stored for retries.
+test('a paused sender is resumed when its receiver has disconnected', t => {
+  const {timers, openAnswer} = createFixture();
+  const {answer} = openAnswer();
   while (answer.write(Buffer.alloc(large)));
   let resumed = 0;
   answer.onDrain(() => void resumed++);
@@ -160,26 +161,26 @@
   t.is(resumed, 1);
 });
 
-test('an answer that does not end gives others their turn', t => {
-  const {timers, open} = stage();
-  const film = open();
-  const pour = () => {
+test('an endless answer takes turns with the others', t => {
+  const {timers, openAnswer} = createFixture();
+  const film = openAnswer();
+  const writeMore = () => {
     while (film.answer.write(Buffer.alloc(large)));
-    film.answer.onDrain(pour);
+    film.answer.onDrain(writeMore);
   };
-  pour();
-  const archive = open();
+  writeMore();
+  const archive = openAnswer();
   archive.answer.write(Buffer.alloc(large));
   archive.answer.end();
   timers.advance(400);
   t.is(archive.state.end, 'whole');
 });
 
-test('what small answers take is told, without the beginnings of large ones', t => {
-  const {timers, egressQueue, open} = stage();
-  timers.every(10, () => open().answer.write(Buffer.alloc(3_000)));
+test('the rate of small answers does not include the beginnings of large ones', t => {
+  const {timers, egressQueue, openAnswer} = createFixture();
+  timers.every(10, () => openAnswer().answer.write(Buffer.alloc(3_000)));
   timers.every(100, () => {
-    const {answer} = open();
+    const {answer} = openAnswer();
     answer.write(Buffer.alloc(8_000));
     answer.write(Buffer.alloc(40_000));
     answer.end();
--- a/src/request/transport/framed-link.ts
+++ b/src/request/transport/framed-link.ts
@@ -1,7 +1,7 @@
 /**
  * The entry's end of the framed link to one gate. All calls to the gate share
- * one connection. An HTTP connection for each call would need more processor
- * time for the HTTP client and server than the node needs for everything else.
+ * one connection. With an HTTP connection for each call, the HTTP client and
+ * server needed more processor time than all decisions about requests.
  */
 import {createKeySharingCodec} from '../../link/codec.js';
 import {createSocketLink} from '../../link/socket-link.js';
--- a/src/request/transport/gate-link.test.ts
+++ b/src/request/transport/gate-link.test.ts
@@ -18,21 +18,21 @@
   '\r\n',
 ].join('\r\n');
 
-/** Puts a gate at `address` in place of the mesh's own instance. */
+/** Announces the gate address `gate` for the mesh's first instance. */
 function replaceGate(mesh: Mesh, gate: string): void {
   mesh.endpoints.put(announcementOf({gate, incarnation: 2}));
 }
 
-/** A gate that dies when it has read a call, on a framed link or by HTTP. */
-function createLostGate(read: () => void) {
+/** A gate that crashes after it has read a call, by framed link or HTTP. */
+function createCrashingGate(onCall: () => void) {
   return createRawServer((socket, head) => {
-    const die = () => {
-      read();
+    const crash = () => {
+      onCall();
       socket.destroy();
     };
-    if (!head.includes(framedProtocol)) return die();
+    if (!head.includes(framedProtocol)) return crash();
     socket.write(upgraded);
-    socket.once('data', die);
+    socket.once('data', crash);
   });
 }
 
@@ -41,12 +41,12 @@
 }
 
 for (const {framedLinks, isGuarded: doubt} of hopCases) {
-  test(`a gate lost after the head was sent, doubt kept: ${doubt}, framed links: ${framedLinks}`, async t => {
-    // The gate's process dies with a booking in hand, which may have reached
-    // the upstream. Called `not-run`, the entry sends it to the other gate and
-    // it is booked twice.
+  test(`a gate lost after the head was sent, effect reported as unknown: ${doubt}, framed links: ${framedLinks}`, async t => {
+    // The gate's process crashes after it has received a booking, which may
+    // have reached the upstream. If the failure counted as not run, the entry
+    // would send the booking to another gate and it would run twice.
     let booked = 0;
-    const lost = await createLostGate(() => booked++);
+    const crashing = await createCrashingGate(() => booked++);
     const mesh = await createMesh({
       upstreams: [() => {}, (_req, res) => (booked++, res.end('booked'))],
       entry: {
@@ -54,18 +54,18 @@
         balancer: {choose: candidates => candidates[0]!},
       },
     });
-    replaceGate(mesh, lost.address);
+    replaceGate(mesh, crashing.address);
     const answer = await book(mesh);
     t.is(booked, doubt ? 1 : 2);
     t.is(answer.headers['foxbarrow-effect'], doubt ? 'unknown' : undefined);
     t.is(answer.headers['foxbarrow-code'], doubt ? '5011' : undefined);
     await answer.body.dump();
     await mesh.close();
-    await lost.close();
+    await crashing.close();
   });
 }
 
-test('a gate that takes no connection leaves a booking not run and free to go elsewhere', async t => {
+test('a booking is sent to another gate if the first one accepts no connection', async t => {
   const mesh = await createMesh({
     upstreams: [() => {}, (_req, res) => res.end('booked')],
     entry: {balancer: {choose: candidates => candidates[0]!}},
@@ -76,7 +76,7 @@
   await mesh.close();
 });
 
-test('the only gate unreachable: refused as not run, with a time to come back', async t => {
+test('a request whose only gate is unreachable is refused as not run, with a retry delay', async t => {
   const mesh = await createMesh({upstreams: [() => {}]});
   replaceGate(mesh, await unusedAddress());
   const answer = await book(mesh);
@@ -89,8 +89,8 @@
 
 for (const instanceCheck of [false, true]) {
   test(`an address that now belongs to another upstream, instance checked: ${instanceCheck}`, async t => {
-    // The announcement names an instance that moved; its old address was given
-    // to another upstream's gate, which would run the booking as its own.
+    // The announced instance has moved, and its old address now belongs to the
+    // gate of another upstream, which would run the booking.
     const mesh = await createMesh({
       upstreams: [(_req, res) => res.end('booked')],
       gate: {instance: 'parts-files-1', service: 'parts-files'},
@@ -103,9 +103,9 @@
   });
 }
 
-test('answers of one gate that come late and crossed go to their own callers', async t => {
-  // Twenty lookups share the gate's connections; the upstream answers them in
-  // the opposite order. Each caller must read its own part.
+test('answers that one gate sends in another order reach their own callers', async t => {
+  // Twenty lookups share the connection to a gate, and the upstream answers
+  // them in reverse order. Each caller must receive the answer to its request.
   const waiting: Array<() => void> = [];
   const mesh = await createMesh({
     upstreams: [
@@ -125,9 +125,9 @@
   await mesh.close();
 });
 
-test('a refused caller hears the gate’s own wait, not a whole second', async t => {
-  // The gate has a free slot in 40 ms. Its word travels in a header of seconds;
-  // rounded up to one, the caller comes back when its time is nearly over.
+test('a refusal passes the gate’s retry delay on in milliseconds', async t => {
+  // The gate expects a free slot in 40 ms. The header `retry-after` rounds this
+  // up to a second, after which the caller would retry too late.
   const gate = await createRawServer(socket =>
     socket.write(
       [
@@ -149,12 +149,12 @@
   await gate.close();
 });
 
-test('an upload refused in the moment of its admission reaches the next gate whole', async t => {
-  // The first gate admits an upload and refuses it in one breath: its upstream
-  // answered before it read. Both words come at once, and the connection to the
-  // next gate takes a moment to open. Meanwhile the first attempt, which was let
-  // go on, takes the body's second part, and the next upstream gets the third in
-  // its place.
+test('an upload that is refused right after its admission reaches the next gate completely', async t => {
+  // The first gate admits an upload and refuses it at once, as its upstream
+  // answered before reading the body. The entry receives both together, and the
+  // connection to the next gate takes a moment to open. If the admitted first
+  // attempt continued meanwhile, it would take the body's second part, and the
+  // next upstream would receive the third part in its place.
   const refusing = await createRawServer(socket =>
     socket.write(
       [
@@ -187,32 +187,33 @@
   await refusing.close();
 });
 
-test('a gate whose link goes silent is left, and other callers go elsewhere', async t => {
-  // The link takes bytes and nothing ever comes back, without a reset. A lookup
-  // on it would be held until its caller gives up; the gate answers no ping, so
-  // after a second the lookup goes to the other gate and is answered.
+test('a lookup is sent to another gate if the link to the first one becomes silent', async t => {
+  // The link accepts bytes but delivers nothing and is not reset. A lookup on
+  // it would wait until its caller gave up. Since the gate answers no ping, the
+  // entry sends the lookup to another gate after a second.
   const silent = await createRawServer(socket => socket.write(upgraded));
   const mesh = await createMesh({
     upstreams: [() => {}, (_req, res) => res.end('found')],
     entry: {balancer: {choose: candidates => candidates[0]!}},
   });
   replaceGate(mesh, silent.address);
-  const asked = request(`${mesh.url}/stock/7`);
-  let answer: Awaited<typeof asked> | undefined;
-  void asked.then(value => (answer = value));
+  const pending = request(`${mesh.url}/stock/7`);
+  let answer: Awaited<typeof pending> | undefined;
+  void pending.then(value => (answer = value));
   for (let step = 0; step < 20 && answer === undefined; step++) {
     await settle();
     mesh.timers.advance(100);
   }
-  t.is(await (await asked).body.text(), 'found');
+  t.is(await (await pending).body.text(), 'found');
   await mesh.close();
   await silent.close();
 });
 
-test('a caller that reads slowly holds up its own answer, not the next one', async t => {
-  // Two lookups share the link to one gate. The first caller does not read its
-  // megabytes; sent ahead without a bound, they would fill the entry's memory,
-  // and held back on the connection they would hold up the second answer too.
+test('a caller that reads slowly does not delay the next answer', async t => {
+  // Two lookups share the link to a gate, and the first caller does not read
+  // its large answer. Sent without a limit, the answer would fill the entry's
+  // memory. If the connection were paused, the second answer would be delayed
+  // too.
   const large = Buffer.alloc(8 * 1024 * 1024, 'x');
   const mesh = await createMesh({
     upstreams: [(req, res) => res.end(req.url === '/stock/1' ? large : 'part')],
@@ -225,16 +226,17 @@
   await mesh.close();
 });
 
-test('a caller that leaves has its work ended at the gate', async t => {
-  // The caller closes its connection while the upstream works. Without the word
-  // of it, the upstream would work on for nobody and keep its slot.
-  let asked = () => {};
-  const begun = new Promise<void>(done => (asked = done));
-  const mesh = await createMesh({upstreams: [() => asked()]});
-  const leave = new AbortController();
-  const lookup = request(`${mesh.url}/stock/7`, {signal: leave.signal});
+test('a request whose caller disconnects is cancelled at the gate', async t => {
+  // The caller disconnects while the upstream runs its request. Unless the gate
+  // is notified, the request keeps its slot although nobody waits for the
+  // answer.
+  let resolveBegun = () => {};
+  const begun = new Promise<void>(done => (resolveBegun = done));
+  const mesh = await createMesh({upstreams: [() => resolveBegun()]});
+  const leaving = new AbortController();
+  const lookup = request(`${mesh.url}/stock/7`, {signal: leaving.signal});
   await begun;
-  leave.abort();
+  leaving.abort();
   await t.throwsAsync(lookup, {any: true});
   const {gate} = mesh.members[0]!;
   for (let step = 0; step < 200 && gate.running > 0; step++) {
@@ -254,9 +256,9 @@
   await mesh.close();
 });
 
-test('a gate that stops refuses what is on its way, and its entries leave the link', async t => {
-  // The gate's process is asked to stop; a booking that crosses with that word
-  // is refused as not run and goes to the other gate. Nothing is left in doubt.
+test('a stopping gate refuses calls in transit, and its entries close their links', async t => {
+  // A booking is in transit while the gate's process begins to stop. It must be
+  // refused as not run, so that the entry can send it to another gate.
   const mesh = await createMesh({
     upstreams: [1, 2].map(() => (_req, res) => res.end('booked')),
     entry: {balancer: {choose: candidates => candidates[0]!}},
@@ -275,10 +277,10 @@
   await mesh.close();
 });
 
-test('an entry that has gone silent does not hold up the stop of a gate', async t => {
-  // The entry's VM is cut off: its link stays open, carries nothing and is never
-  // closed from there. Waited for, the gate's process is still there at the end
-  // of its grace and is killed with the rest of its work.
+test('an unreachable entry does not delay the stop of a gate', async t => {
+  // The entry's VM is isolated, so it never closes its open link. If the gate
+  // waited for that, its process would exceed the stop timeout and be killed
+  // with its running requests.
   const mesh = await createMesh({upstreams: [() => {}]});
   const {server} = mesh.members[0]!;
   const [host, port] = server.address.split(':');
@@ -304,8 +306,8 @@
   await mesh.close();
 });
 
-// Versions of a mesh run side by side while it is updated.
-test('a gate that declines this version of the link is called by HTTP', async t => {
+// During an update, processes of different versions run in one mesh.
+test('a gate that rejects this version of the link protocol is called over HTTP', async t => {
   const older = await createRawServer((socket, head) => {
     if (/^upgrade:/im.test(head)) {
       socket.end('HTTP/1.1 400 Refused\r\nconnection: close\r\n\r\n');
@@ -319,13 +321,13 @@
     const answer = await book(mesh);
     t.is(await answer.body.text(), 'booked');
   }
-  const asked = older.heads.filter(head => head.includes(framedProtocol));
-  t.is(asked.length, 1);
+  const upgrades = older.heads.filter(head => head.includes(framedProtocol));
+  t.is(upgrades.length, 1);
   await mesh.close();
   await older.close();
 });
 
-test('an entry of an older version is declined, and may call by HTTP', async t => {
+test('an entry with an older version of the link protocol is rejected with status 400', async t => {
   const mesh = await createMesh({upstreams: [() => {}]});
   const [host, port] = mesh.members[0]!.server.address.split(':');
   const older = createConnection({host, port: Number(port)});
--- a/src/request/transport/listener.test.ts
+++ b/src/request/transport/listener.test.ts
@@ -18,11 +18,11 @@
     text: `POST /stock HTTP/1.1\r\n${host}content-length: 4\r\ntransfer-encoding: chunked\r\n\r\n0\r\n\r\n`,
     code: 5015,
   },
-  'an encoding hidden by a space': {
+  'a space before the colon of an encoding': {
     text: `POST /stock HTTP/1.1\r\n${host}transfer-encoding : chunked\r\n\r\n0\r\n\r\n`,
     code: 5015,
   },
-  'an encoding behind another': {
+  'two encodings': {
     text: `POST /stock HTTP/1.1\r\n${host}${close}transfer-encoding: gzip, chunked\r\n\r\n0\r\n\r\n`,
     code: 5015,
   },
@@ -39,7 +39,7 @@
     text: `GET /stock/%2e%2e/bookings HTTP/1.1\r\n${host}${close}\r\n`,
     code: 5015,
   },
-  'another origin’s path': {
+  'an absolute URL': {
     text: `GET http://elsewhere/stock HTTP/1.1\r\n${host}${close}\r\n`,
     code: 5015,
   },
@@ -47,7 +47,7 @@
     text: `POST /bookings HTTP/1.1\r\n${host}${close}idempotency-key: a\r\nidempotency-key: b\r\n\r\n`,
     code: 5015,
   },
-  'a time left that is no number': {
+  'a timeout that is not a whole number': {
     text: `GET /stock HTTP/1.1\r\n${host}${close}foxbarrow-timeout: 1e9\r\n\r\n`,
     code: 5015,
   },
@@ -58,7 +58,7 @@
 };
 
 for (const [name, {text, code}] of Object.entries(badInputs)) {
-  test(`bad input, ${name}: refused as not run, and the entry goes on`, async t => {
+  test(`bad input, ${name}: refused as not run, and the entry serves the next request`, async t => {
     let reached = 0;
     const mesh = await createMesh({
       upstreams: [(_req, res) => (reached++, res.end('here'))],
@@ -73,7 +73,7 @@
   });
 }
 
-test('a body that stops arriving is refused, and nothing was sent on', async t => {
+test('a request whose body stalls is refused and not forwarded', async t => {
   let reached = 0;
   const mesh = await createMesh({
     upstreams: [() => reached++],
@@ -91,7 +91,7 @@
   await mesh.close();
 });
 
-test('a head that stops arriving is refused', async t => {
+test('a request whose head stalls is refused', async t => {
   const listener = createListener({
     address: '127.0.0.1:0',
     headerLimit: 1024,
@@ -105,7 +105,7 @@
   await listener.stop(0);
 });
 
-test('a caller that closes its half of the connection has left', async t => {
+test('a caller that closes its half of the connection counts as disconnected', async t => {
   let aborted = false;
   const mesh = await createMesh({
     upstreams: [req => req.on('close', () => (aborted = true))],
@@ -122,7 +122,7 @@
   await mesh.close();
 });
 
-test('a fault in handling one request ends that one alone', async t => {
+test('an error in the handler of one request ends only that request', async t => {
   const listener = createListener({
     address: '127.0.0.1:0',
     headerLimit: 1024,
@@ -143,10 +143,10 @@
   await listener.stop(0);
 });
 
-/** How long an entry that stops serves what still comes, in milliseconds. */
-const grace = 100;
+/** Milliseconds for which an entry accepts requests after a stop begins. */
+const gracePeriod = 100;
 
-async function startSlow(): Promise<{
+async function startSlowMesh(): Promise<{
   mesh: Mesh;
   finish: () => void;
 }> {
@@ -160,17 +160,18 @@
         else finish = () => res.end(`got ${size}`);
       },
     ],
-    entry: {gracePeriod: grace},
+    entry: {gracePeriod},
   });
   return {mesh, finish: () => finish()};
 }
 
-test('a stop finishes what runs and tells callers to close until its grace ends', async t => {
-  // An answer is under way and another connection stands open unused; callers
-  // hear only seconds later that they should go elsewhere. Those that connect
-  // meanwhile are served and told to close, as is the open one, and nothing is
-  // cut. After the grace nobody is let in.
-  const {mesh, finish} = await startSlow();
+test('a stop finishes running requests and serves new ones until the grace period ends', async t => {
+  // A request is running and another connection is open and unused when the
+  // stop begins. Callers need seconds to notice the stop. Until the grace
+  // period ends, requests on open and new connections must be served with
+  // `connection: close` instead of being cut off. After it no connection is
+  // accepted.
+  const {mesh, finish} = await startSlowMesh();
   const {address} = mesh.entry;
   const {gate} = mesh.members[0]!;
   const running = openRaw(
@@ -188,7 +189,7 @@
   const late = await request(`${mesh.url}/stock`);
   t.is(late.headers.connection, 'close');
   t.is(await late.body.text(), 'quick');
-  mesh.timers.advance(grace);
+  mesh.timers.advance(gracePeriod);
   await t.throwsAsync(request(`${mesh.url}/stock`));
   finish();
   t.regex((await readAll(running)).text, /got 2/);
@@ -197,8 +198,8 @@
   await mesh.close();
 });
 
-test('a long upload that runs at the stop is stored whole', async t => {
-  const {mesh, finish} = await startSlow();
+test('a long upload that runs when the stop begins is received completely', async t => {
+  const {mesh, finish} = await startSlowMesh();
   const {gate} = mesh.members[0]!;
   const size = 200_000;
   const socket = openRaw(
@@ -208,8 +209,8 @@
   socket.write('x'.repeat(size / 2));
   while (gate.running === 0) await tick();
   const stopped = mesh.entry.stop(60_000);
-  const gone = gate.stop(60_000);
-  mesh.timers.advance(grace);
+  const gateStopped = gate.stop(60_000);
+  mesh.timers.advance(gracePeriod);
   for (let turn = 0; turn < 20; turn++) await tick();
   const answer = readAll(socket);
   socket.write('x'.repeat(size / 2));
@@ -217,12 +218,12 @@
   t.regex((await answer).text, new RegExp(`got ${size}`));
   clearInterval(timer);
   await stopped;
-  await gone;
+  await gateStopped;
   await mesh.close();
 });
 
-test('at the stop deadline what still runs is cut, visibly', async t => {
-  const {mesh} = await startSlow();
+test('at the stop deadline running requests are cut off visibly', async t => {
+  const {mesh} = await startSlowMesh();
   const {gate} = mesh.members[0]!;
   const socket = openRaw(
     mesh.entry.address,
@@ -239,8 +240,8 @@
   await mesh.close();
 });
 
-test('a second stop with an earlier deadline counts', async t => {
-  const {mesh} = await startSlow();
+test('a second stop with an earlier deadline takes effect', async t => {
+  const {mesh} = await startSlowMesh();
   const {gate} = mesh.members[0]!;
   const socket = openRaw(
     mesh.entry.address,
--- a/src/request/transport/upstream-link.ts
+++ b/src/request/transport/upstream-link.ts
@@ -32,10 +32,10 @@
       began: () => receiver.began(),
       interim: () => {},
       head: (status, reason, raw) => {
-        const fault = safeguards.framing
+        const rejection = safeguards.framing
           ? protocol.checkAnswer(call, {status, headers: raw})
           : undefined;
-        if (fault !== undefined) return receiver.unfit(fault);
+        if (rejection !== undefined) return receiver.unfit(rejection);
         receiver.head({
           status,
           reason,
