--- a/src/request/outgoing-link.test.ts
+++ b/src/request/outgoing-link.test.ts
@@ -297,7 +297,10 @@
 // Small answers may be delayed behind them, and archive requests occupy their
 // slots until their answers are sent.
 test('lookups are in time while archives saturate the outgoing link', async t => {
-  const {lookups, archives} = await simulate(8000, {sendsGoodFor: true, lookup});
+  const {lookups, archives} = await simulate(8000, {
+    sendsGoodFor: true,
+    lookup,
+  });
   const results = JSON.stringify({lookups, archives}, (key, value) =>
     Array.isArray(value) ? Math.max(...(value as number[])) : (value as number),
   );
