--- a/src/request/quarantine.test.ts
+++ b/src/request/quarantine.test.ts
@@ -188,10 +188,10 @@
   const [hanging] = suspectsOf([callOf({path: '/stock/hangs', headers: []})]);
   fixture.put(quarantineOf(hanging!, trial));
   const leaving = new AbortController();
-  const left = request(`${mesh.url}/stock/hangs`, {signal: leaving.signal});
+  const pending = request(`${mesh.url}/stock/hangs`, {signal: leaving.signal});
   await until(() => isHeld);
   leaving.abort();
-  t.is(await left.catch(() => 'left'), 'left');
+  t.is(await pending.catch(() => 'left'), 'left');
   await mesh.timers.advanceAsync(300);
   await until(() => mesh.members[0]!.gate.running === 0);
   await ask(mesh, '/stock/other');
