--- a/src/request/transport/egress-queue.ts
+++ b/src/request/transport/egress-queue.ts
@@ -1,64 +1,69 @@
 /**
- * The way out of a VM for the answers that its process sends. Large ones leave
- * one after the other at the pace of a share of the link; very large ones let
- * the others go first from time to time. Written as they come, they would wait
- * in the sockets, and small answers, marks and heartbeats behind them.
+ * Queues the answers that a process sends over its VM's outgoing link. Small
+ * answers are written at once. Large answers are written one after the other at
+ * a share of the link's rate, and very large ones in turns. Written without a
+ * limit, they would fill the link's buffers and delay small answers, freshness
+ * marks and heartbeats.
  */
 import {Answer, answerQuantum, largeAnswerThreshold} from '../messages/answer.js';
 import type {AnswerHead, Refusal} from '../messages/call.js';
 import type {Subscription, Timers} from '../../time/timers.js';
-import {createMeter} from './pace.js';
-import type {Meter} from './pace.js';
+import {createTokenBucket} from './pacing.js';
+import type {TokenBucket} from './pacing.js';
 import {createRateAverage} from './rate-average.js';
 import type {RateAverage} from './rate-average.js';
 
-/** An answer on its way through an egress queue. */
+/** An answer that is sent through an egress queue. */
 export abstract class QueuedAnswer extends Answer {
-  /** Its receiver has gone; what waits of it is let go. */
+  /** Discards the bytes that wait, as their receiver has disconnected. */
   abstract drop(): void;
 }
 
-/** The way out for the answers of one process. */
+/** Queues the answers of one process. */
 export interface EgressQueue {
   /** Bytes of large answers that wait for the link. */
   readonly waiting: number;
-  /** Bytes a second that small answers take of late. */
+  /** Recent rate of small answers in bytes per second. */
   readonly taken: number;
-  /** The way through it to `answer`. */
+  /** Creates an answer that is written to `answer` through the queue. */
   to(answer: Answer): QueuedAnswer;
 }
 
 /** Options of `createEgressQueue`. */
 export interface EgressQueueOptions {
-  /** Bytes a second that answers may take. */
+  /** Maximum rate of answers in bytes per second. */
   readonly rate: number;
   readonly timers: Timers;
 }
 
-/** Milliseconds' worth of large answers that a small one may wait behind. */
+/**
+ * Size of a burst of large answers, in milliseconds at the limited rate. A
+ * small answer may be delayed by this time.
+ */
 const burst = 10;
 
-/** Bytes of a large answer that leave at once. */
+/** Bytes of a large answer that are written in one step. */
 const partSize = 8 * 1024;
 
-/** Bytes that each answer may have waiting, however many others wait. */
-const window = 64 * 1024;
+/** Bytes that each answer may buffer, however much the others buffer. */
+const perAnswerLimit = 64 * 1024;
 
 /**
- * Bytes that all answers may have waiting together. Up to there the upstream is
- * not held up, so its slots are free for work whose answers are small.
+ * Bytes that all answers together may buffer before upstreams are paused. Until
+ * then upstreams finish early and free their slots for requests with small
+ * answers.
  */
 const readAhead = 1024 * 1024;
 
-/** The part of an egress queue that its answers share. */
-interface Turns {
-  readonly meter: Meter;
-  readonly small: RateAverage;
-  /** Large answers under way, the one whose turn it is first. */
+/** The state of an egress queue that its answers share. */
+interface SharedQueue {
+  readonly bucket: TokenBucket;
+  readonly smallAnswerRate: RateAverage;
+  /** Large answers in progress, in the order of their turns. */
   readonly answers: Set<EgressAnswer>;
-  /** Bytes that wait, for the link or for their receivers. */
+  /** Buffered bytes that wait for the link or for their receivers. */
   held: number;
-  /** Sends what may leave now. */
+  /** Sends the parts that the rate allows now. */
   pump(): void;
 }
 
@@ -67,18 +72,18 @@
   rate,
   timers,
 }: EgressQueueOptions): EgressQueue {
-  let next: Subscription | undefined;
+  let pumpTimer: Subscription | undefined;
   let isPumping = false;
-  const turns: Turns = {
-    meter: createMeter(rate, timers, burst),
-    small: createRateAverage(timers),
+  const queue: SharedQueue = {
+    bucket: createTokenBucket(rate, timers, burst),
+    smallAnswerRate: createRateAverage(timers),
     answers: new Set(),
     held: 0,
     pump,
   };
 
   function pump(): void {
-    if (isPumping || next !== undefined) return;
+    if (isPumping || pumpTimer !== undefined) return;
     isPumping = true;
     sendReady();
     isPumping = false;
@@ -88,21 +93,21 @@
     for (;;) {
       const ready = findReady();
       if (ready === undefined) return;
-      const wait = turns.meter.wait();
+      const wait = queue.bucket.wait();
       if (wait > 0) {
-        next = timers.after(wait, () => {
-          next = undefined;
+        pumpTimer = timers.after(wait, () => {
+          pumpTimer = undefined;
           pump();
         });
         return;
       }
       ready.sendPart();
-      for (const answer of turns.answers) answer.callForMore();
+      for (const answer of queue.answers) answer.resumeSender();
     }
   }
 
   function findReady(): EgressAnswer | undefined {
-    for (const answer of turns.answers) {
+    for (const answer of queue.answers) {
       if (answer.isReady) return answer;
     }
     return undefined;
@@ -111,34 +116,34 @@
   return {
     get waiting() {
       let bytes = 0;
-      for (const answer of turns.answers) bytes += answer.waiting;
+      for (const answer of queue.answers) bytes += answer.waiting;
       return bytes;
     },
     get taken() {
-      return turns.small.rate();
+      return queue.smallAnswerRate.rate();
     },
-    to: answer => new EgressAnswer(answer, turns),
+    to: answer => new EgressAnswer(answer, queue),
   };
 }
 
-/** An answer that takes its turn once it has grown large. */
+/** An answer that is queued once it has become large. */
 class EgressAnswer extends QueuedAnswer {
-  /** Bytes that passed at once. */
-  private passed = 0;
+  /** Bytes that were written without queueing. */
+  private unqueuedBytes = 0;
   private isLarge = false;
   private readonly parts: Buffer[] = [];
   private held = 0;
-  /** Bytes that left in this turn. */
+  /** Bytes that were sent in this turn. */
   private sent = 0;
-  /** Whether its receiver takes no more now. */
+  /** Whether the receiver applies back-pressure. */
   private isBlocked = false;
-  private isWhole = false;
-  private isOver = false;
+  private isComplete = false;
+  private hasEnded = false;
   private resume: (() => void) | undefined;
 
   constructor(
     private readonly answer: Answer,
-    private readonly turns: Turns,
+    private readonly queue: SharedQueue,
   ) {
     super();
   }
@@ -147,7 +152,7 @@
     return this.held > 0 && !this.isBlocked;
   }
 
-  /** Bytes that wait for the link, not for the receiver. */
+  /** Buffered bytes that wait for the link and not for the receiver. */
   get waiting(): number {
     return this.isBlocked ? 0 : this.held;
   }
@@ -161,19 +166,19 @@
   }
 
   write(chunk: Buffer): boolean {
-    if (this.isOver) return true;
-    if (!this.isLarge && this.passed + chunk.length < largeAnswerThreshold) {
-      this.passed += chunk.length;
-      this.turns.meter.spend(chunk.length);
-      this.turns.small.add(chunk.length);
+    if (this.hasEnded) return true;
+    if (!this.isLarge && this.unqueuedBytes + chunk.length < largeAnswerThreshold) {
+      this.unqueuedBytes += chunk.length;
+      this.queue.bucket.consume(chunk.length);
+      this.queue.smallAnswerRate.add(chunk.length);
       return this.answer.write(chunk);
     }
-    if (!this.isLarge) this.grow();
-    this.turns.answers.add(this);
+    if (!this.isLarge) this.markLarge();
+    this.queue.answers.add(this);
     this.parts.push(chunk);
     this.held += chunk.length;
-    this.turns.held += chunk.length;
-    this.turns.pump();
+    this.queue.held += chunk.length;
+    this.queue.pump();
     return this.hasRoom();
   }
 
@@ -183,90 +188,92 @@
   }
 
   end(): void {
-    this.isWhole = true;
-    if (!this.isOver && this.held === 0) this.finish();
+    this.isComplete = true;
+    if (!this.hasEnded && this.held === 0) this.finish();
   }
 
   refuse(refusal: Refusal): void {
-    this.letGo();
+    this.releaseParts();
     this.answer.refuse(refusal);
   }
 
   cut(): void {
-    this.letGo();
+    this.releaseParts();
     this.answer.cut();
   }
 
   drop(): void {
     const {resume} = this;
-    this.letGo();
-    // Work that goes on without its caller must not wait for it either.
+    this.releaseParts();
+    // A request that continues after its caller has left must not stay paused.
     resume?.();
   }
 
-  /** Sends the next part of it. */
+  /** Sends the next part. */
   sendPart(): void {
-    const part = this.takePart();
+    const part = this.removePart();
     this.held -= part.length;
-    this.turns.held -= part.length;
-    this.turns.meter.spend(part.length);
+    this.queue.held -= part.length;
+    this.queue.bucket.consume(part.length);
     if (!this.answer.write(part)) this.block();
     this.sent += part.length;
-    if (this.held === 0 && this.isWhole) this.finish();
+    if (this.held === 0 && this.isComplete) this.finish();
     else if (this.sent >= answerQuantum) this.endTurn();
   }
 
-  /** Has its sender go on once there is room for more. */
-  callForMore(): void {
+  /** Resumes the sender if there is room for more. */
+  resumeSender(): void {
     const {resume} = this;
     if (resume === undefined || !this.hasRoom()) return;
     this.resume = undefined;
     resume();
   }
 
-  /** It is no small answer after all. */
-  private grow(): void {
+  /** Queues the answer from now on and no longer counts it as a small one. */
+  private markLarge(): void {
     this.isLarge = true;
-    this.turns.small.add(-this.passed);
+    this.queue.smallAnswerRate.add(-this.unqueuedBytes);
   }
 
   private hasRoom(): boolean {
-    return this.turns.held < readAhead || this.held < window;
+    return this.queue.held < readAhead || this.held < perAnswerLimit;
   }
 
-  private takePart(): Buffer {
+  private removePart(): Buffer {
     const first = this.parts[0]!;
     if (first.length <= partSize) return this.parts.shift()!;
     this.parts[0] = first.subarray(partSize);
     return first.subarray(0, partSize);
   }
 
-  /** Goes behind the others; an answer without an end would keep them waiting. */
+  /**
+   * Moves to the end of the queue, so that an endless answer blocks no other.
+   */
   private endTurn(): void {
     this.sent = 0;
-    this.turns.answers.delete(this);
-    this.turns.answers.add(this);
+    this.queue.answers.delete(this);
+    this.queue.answers.add(this);
   }
 
   private block(): void {
     this.isBlocked = true;
     this.answer.onDrain(() => {
       this.isBlocked = false;
-      this.turns.pump();
+      this.queue.pump();
     });
   }
 
-  private letGo(): void {
-    this.isOver = true;
-    this.turns.held -= this.held;
+  private releaseParts(): void {
+    this.hasEnded = true;
+    this.queue.held -= this.held;
     this.held = 0;
     this.parts.length = 0;
     this.resume = undefined;
-    this.turns.answers.delete(this);
+    this.queue.answers.delete(this);
   }
 
   private finish(): void {
-    this.letGo();
+    this.releaseParts();
     this.answer.end();
   }
 }
--- a/src/request/transport/http-call.ts
+++ b/src/request/transport/http-call.ts
@@ -1,86 +1,91 @@
 /**
- * One call to a gate on an HTTP connection of its own. A body that streams has
- * the connection's back-pressure, which would hold up other calls on a shared
- * link.
+ * One call to a gate over a separate HTTP connection. A streamed body needs the
+ * back-pressure of its connection, which would delay the other calls on a
+ * shared link.
  */
 import {Failure} from '../../result/failure.js';
 import type {Subscription, Timers} from '../../time/timers.js';
 import type {Answer} from '../messages/answer.js';
 import {requestCodes} from '../messages/codes.js';
-import type {Connections} from './connections.js';
+import type {ConnectionPool} from './connection-pool.js';
 import {delayUntil} from '../../time/deadline.js';
-import {codeOf, decisionMargin, reasonOf, timeLeft} from './gate-call.js';
-import {endToEnd, findHeader, headerNames} from './headers.js';
+import {
+  codeOf,
+  decisionMargin,
+  refusalForFailure,
+  timeLeft,
+} from './gate-call.js';
+import {endToEndHeaders, findHeader, headerNames} from './headers.js';
 import type {Call, Cancel, Refusal} from '../messages/call.js';
 import type {GateTarget, PendingRequest} from '../messages/hops.js';
 import {createRefusal} from '../messages/refusal.js';
 import type {Safeguards} from '../messages/safeguards.js';
-import {send} from './sending.js';
-import type {Receiver} from './sending.js';
+import {sendRequest} from './sending.js';
+import type {ResponseReceiver} from './sending.js';
 
 const millisecondsPerSecond = 1000;
 
-/** A call and the connections that it may use. */
+/** Options of `callOverHttp`. */
 export interface HttpCall {
   readonly call: Call;
   readonly bodyLimit: number;
   readonly peer: GateTarget;
   readonly answer: Answer;
-  readonly link: Connections;
+  readonly link: ConnectionPool;
   readonly timers: Timers;
   readonly safeguards: Safeguards;
   readonly foreign: ReadonlySet<string> | undefined;
 }
 
-/** Makes the call. */
-export function callByHttp(options: HttpCall): Cancel {
+/** Sends a call over HTTP. */
+export function callOverHttp(options: HttpCall): Cancel {
   const {call, peer, answer, timers, safeguards, foreign} = options;
-  let limit: Subscription | undefined;
-  let refused = false;
-  let started = false;
-  let ended = false;
+  let deadlineTimer: Subscription | undefined;
+  let isRefused = false;
+  let isStarted = false;
+  let hasEnded = false;
 
-  const receiver: Receiver = {
+  const receiver: ResponseReceiver = {
     began: () => {},
-    // The gate tells that the work was admitted; the upload may go on.
+    // The gate reports that the request was admitted; the upload may continue.
     interim: () => answer.admit(),
     head: (status, reason, raw) => {
       const load = findHeader(raw, headerNames.load);
       if (load !== undefined) peer.updateLoad(Number(load));
       const code = findHeader(raw, headerNames.code);
       if (code !== undefined) {
-        refused = true;
+        isRefused = true;
         answer.refuse(readRefusal(Number(code), raw));
         return;
       }
-      started = true;
-      answer.start({status, reason, headers: endToEnd(raw, {foreign})});
+      isStarted = true;
+      answer.start({status, reason, headers: endToEndHeaders(raw, {foreign})});
     },
     data: chunk => {
-      if (refused || answer.write(chunk)) return true;
+      if (isRefused || answer.write(chunk)) return true;
       answer.onDrain(() => sending?.resume());
       return false;
     },
     end: () => {
       end();
-      if (!refused) answer.end();
+      if (!isRefused) answer.end();
     },
     failed: (error, began) => {
       end();
-      if (refused) return;
-      if (started) answer.cut();
-      else answer.refuse(reasonOf(error, began && safeguards.unknownEffect));
+      if (isRefused) return;
+      if (isStarted) answer.cut();
+      else answer.refuse(refusalForFailure(error, began && safeguards.unknownEffect));
     },
   };
 
   function end(): void {
-    ended = true;
-    limit?.cancel();
+    hasEnded = true;
+    deadlineTimer?.cancel();
   }
 
   const {method, path, body} = call;
   const headers = headersOf(options);
-  const sending: PendingRequest | undefined = send(
+  const sending: PendingRequest | undefined = sendRequest(
     options.link,
     {method, path, headers, body},
     receiver,
@@ -89,14 +94,14 @@
     answer.refuse(createRefusal(requestCodes.full, 'too many calls to one gate'));
     return () => {};
   }
-  if (!ended) {
-    const left = delayUntil(call.deadline + decisionMargin, timers.now());
-    limit = timers.after(left, () =>
+  if (!hasEnded) {
+    const delay = delayUntil(call.deadline + decisionMargin, timers.now());
+    deadlineTimer = timers.after(delay, () =>
       sending.cancel(new Failure(requestCodes.deadlinePassed, 'no answer')),
     );
   }
   return () =>
-    sending.cancel(new Failure(requestCodes.callerLeft, 'caller left'));
+    sending.cancel(new Failure(requestCodes.callerLeft, 'the caller left'));
 }
 
 function headersOf(options: HttpCall): string[] {
--- a/src/request/transport/upstream-link.ts
+++ b/src/request/transport/upstream-link.ts
@@ -1,4 +1,4 @@
-/** The connections between a gate and its upstream, in the upstream's dialect. */
+/** Sends a gate's calls to its upstream in the upstream's protocol. */
 import type {
   PendingRequest,
   UpstreamLink,
@@ -6,15 +6,15 @@
 } from '../messages/hops.js';
 import type {Call} from '../messages/call.js';
 import type {Safeguards} from '../messages/safeguards.js';
-import type {Connections} from './connections.js';
-import {endToEnd} from './headers.js';
-import {send} from './sending.js';
-import type {Receiver} from './sending.js';
+import type {ConnectionPool} from './connection-pool.js';
+import {endToEndHeaders} from './headers.js';
+import {sendRequest} from './sending.js';
+import type {ResponseReceiver} from './sending.js';
 import type {UpstreamProtocol} from './upstream-protocol.js';
 
 /** Options of `createUpstreamLink`. */
 export interface UpstreamLinkOptions {
-  readonly connections: Connections;
+  readonly connections: ConnectionPool;
   readonly protocol: UpstreamProtocol;
   readonly safeguards: Pick<Safeguards, 'framing' | 'internalHeaders'>;
 }
@@ -22,21 +22,25 @@
 /** Creates the link to one upstream. */
 export function createUpstreamLink(options: UpstreamLinkOptions): UpstreamLink {
   const {connections, protocol, safeguards} = options;
-  const passing = {
+  const headerOptions = {
     dropsInternal: safeguards.internalHeaders,
     foreign: protocol.foreign,
   };
 
-  function translate(call: Call, receiver: UpstreamReceiver): Receiver {
+  function translate(call: Call, receiver: UpstreamReceiver): ResponseReceiver {
     return {
       began: () => receiver.began(),
       interim: () => {},
       head: (status, reason, raw) => {
-        const judgement = safeguards.framing
-          ? protocol.judge(call, {status, headers: raw})
+        const rejection = safeguards.framing
+          ? protocol.checkAnswer(call, {status, headers: raw})
           : undefined;
-        if (judgement !== undefined) return receiver.rejected(judgement);
-        receiver.head({status, reason, headers: endToEnd(raw, passing)});
+        if (rejection !== undefined) return receiver.rejected(rejection);
+        receiver.head({
+          status,
+          reason,
+          headers: endToEndHeaders(raw, headerOptions),
+        });
       },
       data: chunk => receiver.data(chunk),
       end: () => receiver.end(),
@@ -45,11 +49,11 @@
   }
 
   return {
-    send: (call, left, receiver): PendingRequest | undefined => {
+    send: (call, timeLeft, receiver): PendingRequest | undefined => {
       const {method, path, body} = call;
-      const headers = [...call.headers, ...protocol.headers(call, left)];
+      const headers = [...call.headers, ...protocol.headers(call, timeLeft)];
       const outgoing = {method, path, headers, body};
-      return send(connections, outgoing, translate(call, receiver));
+      return sendRequest(connections, outgoing, translate(call, receiver));
     },
   };
 }
