--- a/src/endpoints/leases.test.ts
+++ b/src/endpoints/leases.test.ts
@@ -138,7 +138,7 @@
 /** One link of the mesh is cut; both its homes and their nodes work. */
 async function cutLink(indirectReachability: boolean): Promise<number> {
   const mesh = createFakeMesh(0, {
-    safeguards: {indirectReachability: indirectReachability},
+    safeguards: {indirectReachability},
   });
   await mesh.home('home-a');
   await mesh.home('home-b');
@@ -285,7 +285,7 @@
   indirectReachability: boolean,
 ): Promise<number> {
   const mesh = createFakeMesh(0, {
-    safeguards: {indirectReachability: indirectReachability},
+    safeguards: {indirectReachability},
   });
   for (const name of ['home-a', 'home-b', 'home-c']) await mesh.home(name);
   mesh.network.cut('home-a', 'home-b');
--- a/src/operator/run-operator-command.test.ts
+++ b/src/operator/run-operator-command.test.ts
@@ -68,7 +68,9 @@
   t.is(await codeOf('put rotue x'), 2);
   t.is(await codeOf('remove service crewbook'), 3);
   t.is(await codeOf('expect 7 put service a'), 4);
-  deployment.group.planOutcomes(...Array.from({length: 200}, () => 'lose' as const));
+  deployment.group.planOutcomes(
+    ...Array.from({length: 200}, () => 'lose' as const),
+  );
   const unknown = await run(deployment, 'as amina/9 put service a', {
     isHasty: true,
   });
--- a/src/request/decisions/crash-detector.test.ts
+++ b/src/request/decisions/crash-detector.test.ts
@@ -9,7 +9,7 @@
   const crashes: Array<readonly Call[]> = [];
   const detector = createCrashDetector({
     timers,
-    isListening: isListening,
+    isListening,
     onCrash: calls => void crashes.push(calls),
   });
   return {timers, detector, crashes};
--- a/src/request/route-finder.ts
+++ b/src/request/route-finder.ts
@@ -49,7 +49,8 @@
    */
   function refuseUnmatched(code: Code): Refusal {
     const isConfirmed = options.isConfirmed?.() ?? true;
-    if (isConfirmed || code !== requestCodes.noRoute) return createRefusal(code);
+    if (isConfirmed || code !== requestCodes.noRoute)
+      return createRefusal(code);
     return createRefusal(requestCodes.routeUnsure, undefined, unsureRetryAfter);
   }
 
--- a/src/request/transport/egress-queue.ts
+++ b/src/request/transport/egress-queue.ts
@@ -5,7 +5,11 @@
  * limit, they would fill the link's buffers and delay small answers, freshness
  * marks and heartbeats.
  */
-import {Answer, answerQuantum, largeAnswerThreshold} from '../messages/answer.js';
+import {
+  Answer,
+  answerQuantum,
+  largeAnswerThreshold,
+} from '../messages/answer.js';
 import type {AnswerHead, Refusal} from '../messages/call.js';
 import type {Subscription, Timers} from '../../time/timers.js';
 import {createTokenBucket} from './pacing.js';
@@ -167,7 +171,10 @@
 
   write(chunk: Buffer): boolean {
     if (this.hasEnded) return true;
-    if (!this.isLarge && this.unqueuedBytes + chunk.length < largeAnswerThreshold) {
+    if (
+      !this.isLarge &&
+      this.unqueuedBytes + chunk.length < largeAnswerThreshold
+    ) {
       this.unqueuedBytes += chunk.length;
       this.queue.bucket.consume(chunk.length);
       this.queue.smallAnswerRate.add(chunk.length);
--- a/src/request/transport/framed-call.ts
+++ b/src/request/transport/framed-call.ts
@@ -75,7 +75,10 @@
   function fail(error: Error, began: boolean): void {
     timeoutTimer.cancel();
     if (isStarted) answer.cut();
-    else answer.refuse(refusalForFailure(error, began && safeguards.unknownEffect));
+    else
+      answer.refuse(
+        refusalForFailure(error, began && safeguards.unknownEffect),
+      );
   }
 
   function buildFrame(number: number): CallFrame {
--- a/src/request/transport/http-call.ts
+++ b/src/request/transport/http-call.ts
@@ -74,7 +74,10 @@
       end();
       if (isRefused) return;
       if (isStarted) answer.cut();
-      else answer.refuse(refusalForFailure(error, began && safeguards.unknownEffect));
+      else
+        answer.refuse(
+          refusalForFailure(error, began && safeguards.unknownEffect),
+        );
     },
   };
 
@@ -91,7 +94,9 @@
     receiver,
   );
   if (sending === undefined) {
-    answer.refuse(createRefusal(requestCodes.full, 'too many calls to one gate'));
+    answer.refuse(
+      createRefusal(requestCodes.full, 'too many calls to one gate'),
+    );
     return () => {};
   }
   if (!hasEnded) {
