--- a/scenarios/control-vm.ts
+++ b/scenarios/control-vm.ts
@@ -106,7 +106,7 @@
         region: 'astana',
       },
       address,
-      fellows: () => members.map(each => distributionAddress(each.name)),
+      peers: () => members.map(each => distributionAddress(each.name)),
       source: createSectionSource(machine),
       barrier,
       asOf: createFreshness(barrier, own).asOf,
--- a/src/claims/interleavings.test.ts
+++ b/src/claims/interleavings.test.ts
@@ -1,6 +1,6 @@
 import test from 'ava';
 import type {Keeper, KeeperAssignment} from '../configuration/configuration.js';
-import type {Fate} from '../link/fakes/fake-network.js';
+import type {DeliveryOutcome} from '../link/fakes/fake-network.js';
 import {createRandom} from '../random/random.js';
 import {createClaimCluster} from './fakes/claim-cluster.js';
 import type {
@@ -106,10 +106,10 @@
     if (kind === 0) network.cut(random.pick(everyone), random.pick(everyone));
     if (kind === 1) network.heal();
     if (kind === 2) network.release(random.integer(2) === 0);
-    if (kind > 2) network.decide(chooseFate);
+    if (kind > 2) network.setDeliveryRule(chooseFate);
   }
 
-  function chooseFate(): Fate {
+  function chooseFate(): DeliveryOutcome {
     const draw = random.integer(100);
     if (draw < 4) return 'drop';
     if (draw < 8) return 'double';
@@ -125,7 +125,7 @@
     else if (draw < 16) cluster.assign(set);
     await timers.advanceAsync(random.integer(25));
   }
-  network.decide(() => 'deliver');
+  network.setDeliveryRule(() => 'deliver');
   network.heal();
   network.release(true);
   cluster.assign(set);
--- a/src/fleet/fleet.ts
+++ b/src/fleet/fleet.ts
@@ -101,7 +101,7 @@
         : greetHome(hello, channels);
     for (const observe of observers) observe(hello, channels);
     return message => {
-      watch.hear();
+      watch.recordActivity();
       receiveFrom(message);
     };
   }
@@ -111,7 +111,7 @@
     const {silence} = fleetLimits;
     const watch = createSilenceWatch(timers, silence / 2, silence);
     const timer: Subscription = timers.every(silence / 2, () => {
-      if (watch.look() !== 'silent') return;
+      if (watch.check() !== 'silent') return;
       timer.cancel();
       log.warn('link is silent', {name: name()});
       channels.link.close();
--- a/src/link/address.ts
+++ b/src/link/address.ts
@@ -2,13 +2,13 @@
 import type {Address} from './link.js';
 
 /** The two parts of an address. */
-export interface Endpoint {
+export interface HostAndPort {
   readonly host: string;
   readonly port: number;
 }
 
 /** Splits `host:port`; the host is an IPv4 number or a bracketed IPv6 one. */
-export function parseAddress(address: Address): Endpoint {
+export function parseAddress(address: Address): HostAndPort {
   const colon = address.lastIndexOf(':');
   const host = address.slice(0, colon).replace(/^\[|\]$/g, '');
   return {host, port: Number(address.slice(colon + 1))};
@@ -22,6 +22,6 @@
 }
 
 /** Whether a host is an IP number, not a name. */
-export function isNumber(host: string): boolean {
+export function isIpAddress(host: string): boolean {
   return isIP(host.replace(/^\[|\]$/g, '')) !== 0;
 }
--- a/src/link/fakes/fake-network.ts
+++ b/src/link/fakes/fake-network.ts
@@ -5,7 +5,7 @@
 import {defaultConnectTimeout} from '../tcp-network.js';
 
 /** What the fake network does with one message. */
-export type Fate = 'deliver' | 'drop' | 'double' | 'hold';
+export type DeliveryOutcome = 'deliver' | 'drop' | 'double' | 'hold';
 
 /** A network in memory whose delays, cuts and fates the test sets. */
 export interface FakeNetwork {
@@ -16,12 +16,12 @@
   /** Lets messages travel again in both directions between all processes. */
   heal(): void;
   /** Messages of one process take `delay` milliseconds longer each way. */
-  slow(name: string, delay: number): void;
+  addDelay(name: string, delay: number): void;
   /** Closes every link of one process, as its death would. */
   kill(name: string): void;
   /** Decides each message's fate; the default delivers all. */
-  decide(
-    rule: (source: string, target: string, message: unknown) => Fate,
+  setDeliveryRule(
+    rule: (source: string, target: string, message: unknown) => DeliveryOutcome,
   ): void;
   /** Delivers what was held, in reverse order when `crossed`. */
   release(crossed?: boolean): void;
@@ -48,7 +48,7 @@
   const slowed = new Map<string, number>();
   const ends = new Set<End>();
   let held: Array<() => void> = [];
-  let rule: (source: string, target: string, message: unknown) => Fate = () =>
+  let rule: (source: string, target: string, message: unknown) => DeliveryOutcome = () =>
     'deliver';
 
   const isCut = (source: string, target: string) =>
@@ -184,7 +184,7 @@
       })(),
     cut: (source, target) => void cuts.add(`${source}>${target}`),
     heal: () => cuts.clear(),
-    slow: (name, extra) => void slowed.set(name, extra),
+    addDelay: (name, extra) => void slowed.set(name, extra),
     kill(name) {
       for (const [address, listener] of listeners) {
         if (listener.owner === name) listeners.delete(address);
@@ -197,7 +197,7 @@
         timers.after(delay, () => end(other));
       }
     },
-    decide: next => void (rule = next),
+    setDeliveryRule: next => void (rule = next),
     release(crossed = false) {
       const waiting = crossed ? held.reverse() : held;
       held = [];
--- a/src/link/http-server.ts
+++ b/src/link/http-server.ts
@@ -79,7 +79,7 @@
  * the middle of its body makes the reading of it fail; taken by nobody, that
  * error would end the process.
  */
-export function guard<Incoming, Answering>(
+export function destroyOnError<Incoming, Answering>(
   log: Log,
   handle: (incoming: Incoming, response: Answering) => Promise<void>,
 ): (incoming: Incoming, response: Answering) => void {
--- a/src/metrics/metered-network.ts
+++ b/src/metrics/metered-network.ts
@@ -2,7 +2,7 @@
 import {Network} from '../link/link.js';
 import type {Address, Link, Listener} from '../link/link.js';
 import type {Timers} from '../time/timers.js';
-import type {Metrics, Traffic} from './metrics.js';
+import type {Metrics, LinkKind} from './metrics.js';
 
 /** Milliseconds between two counts of the open links' bytes. */
 const countEvery = 1000;
@@ -10,7 +10,7 @@
 /** A network whose links' bytes are counted as `traffic`. */
 export function createMeteredNetwork(
   network: Network,
-  traffic: Traffic,
+  traffic: LinkKind,
   metrics: Metrics,
   timers: Timers,
 ): Network {
@@ -45,7 +45,7 @@
   count(): void;
 }
 
-function createMeter(link: Link, traffic: Traffic, metrics: Metrics): Meter {
+function createMeter(link: Link, traffic: LinkKind, metrics: Metrics): Meter {
   let received = 0;
   let sent = 0;
   return {
--- a/src/node/claims.ts
+++ b/src/node/claims.ts
@@ -27,9 +27,9 @@
   /** What it announces of its keeper; undefined when it has none. */
   readonly offer: KeeperOffer | undefined;
   /** Takes the keeper sets of a new configuration. */
-  review(configuration: Configuration): void;
+  updateAssignments(configuration: Configuration): void;
   /** Hands its keeper's claims over before a planned stop, within a limit. */
-  leave(limit: number): Promise<void>;
+  handOver(limit: number): Promise<void>;
   stop(): Promise<void>;
 }
 
@@ -55,14 +55,14 @@
   return {
     claims,
     offer,
-    review({services}) {
+    updateAssignments({services}) {
       for (const [name, {keepers}] of services) {
         if (keepers === undefined || seen.get(name) === keepers) continue;
         seen.set(name, keepers);
         keeper?.assign(name, keepers);
       }
     },
-    async leave(limit) {
+    async handOver(limit) {
       await keeper?.leave(Math.min(limit, leaveLimit));
     },
     async stop() {
--- a/src/node/code-warm-up.ts
+++ b/src/node/code-warm-up.ts
@@ -41,7 +41,7 @@
   /** Requests that are sent at most. */
   readonly requests: number;
   /** Asked before each request; false ends the warm-up. */
-  readonly isWanted: () => boolean;
+  readonly shouldContinue: () => boolean;
   readonly callers?: CallerProtocol | undefined;
   readonly upstreams?: ((upstream: Upstream) => UpstreamProtocol) | undefined;
   readonly traffic?: SampleTraffic | undefined;
@@ -210,7 +210,7 @@
   let answered = 0;
 
   async function sendInTurn(): Promise<void> {
-    while (sent < options.requests && options.isWanted()) {
+    while (sent < options.requests && options.shouldContinue()) {
       if (await send(connections, sent++, options.traffic)) answered++;
     }
   }
--- a/src/node/link-share.ts
+++ b/src/node/link-share.ts
@@ -16,9 +16,9 @@
 /** The shares of the link in and of the link out, which don't share a rate. */
 export interface LinkShare {
   /** How fast they are read together. */
-  readonly pace: Pace;
+  readonly uploadPacer: Pace;
   /** How many uploads the gate takes in at once. */
-  readonly places: number;
+  readonly uploadSlots: number;
   /** The way out for the answers that it sends. */
   readonly egressQueue: EgressQueue;
   /** Room for the answers of its upstream. */
@@ -35,8 +35,8 @@
   const answerRate = answerRateOf(linkRate);
   const egressQueue = createEgressQueue({rate: answerRate, timers});
   return {
-    pace: createPace(rate, timers),
-    places: placesFor(rate),
+    uploadPacer: createPace(rate, timers),
+    uploadSlots: placesFor(rate),
     egressQueue,
     reservations: createEgressReservations({
       rate: answerRate,
--- a/src/node/own-service.ts
+++ b/src/node/own-service.ts
@@ -7,7 +7,7 @@
  * operator's drain of that upstream would not reach the gate that must obey
  * it, and the keeper beside it would never learn of its set.
  */
-export function followOwnService(
+export function subscribeToOwnService(
   calls: readonly string[],
   announcer: Announcer,
   subscriber: Subscriber,
--- a/src/node/planned-stop.ts
+++ b/src/node/planned-stop.ts
@@ -14,9 +14,9 @@
   readonly gate: Pick<Gate, 'stop'>;
   readonly gateServer: Pick<Listener, 'stop'>;
   /** Gives the node's claims to others within a time. */
-  readonly leaveClaims: (within: number) => Promise<void>;
+  readonly handOverClaims: (within: number) => Promise<void>;
   /** How long the entry serves what keep-alive callers still send. */
-  readonly grace: number;
+  readonly gracePeriod: number;
   readonly timers: Timers;
 }
 
@@ -48,14 +48,14 @@
   await Promise.all([
     entryStopped,
     gate.stop(left()),
-    options.leaveClaims(left()),
+    options.handOverClaims(left()),
   ]);
   await options.gateServer.stop(left());
   announcer.withdraw();
 }
 
 function waitWithOpenGate(
-  {announcer, grace, timers}: PlannedStopOptions,
+  {announcer, gracePeriod: grace, timers}: PlannedStopOptions,
   deadline: number,
 ): Promise<void> {
   const open = Math.min(grace, deadline) - gateClosing;
--- a/src/node/request-path.ts
+++ b/src/node/request-path.ts
@@ -49,7 +49,7 @@
   const {settings, parts, metrics, configuration} = options;
   const {home, table, membership, gate} = options;
   const {timers, random, log} = options.process;
-  const {pace, egressQueue} = options.linkShare ?? {};
+  const {uploadPacer: pace, egressQueue} = options.linkShare ?? {};
   const gateServer = createGateServer({
     pace,
     egressQueue,
--- a/src/node/start-warm-up.ts
+++ b/src/node/start-warm-up.ts
@@ -12,7 +12,7 @@
 ): void {
   const warmUp = warmUpCode({
     requests: settings.warmUpRequests,
-    isWanted,
+    shouldContinue: isWanted,
     callers: parts.callers,
     upstreams: parts.upstreams,
     traffic: parts.sampleTraffic,
--- a/src/node/beliefs.test.ts
+++ b/src/node/state-changes.test.ts
@@ -7,7 +7,7 @@
 import type {Configuration} from '../configuration/configuration.js';
 import {createRecordedLog} from '../log/fakes/recorded-log.js';
 import {createFakeTimers} from '../time/fakes/fake-timers.js';
-import {logBeliefs} from './beliefs.js';
+import {logStateChanges} from './state-changes.js';
 
 function stage() {
   const {log, lines} = createRecordedLog();
@@ -17,7 +17,7 @@
   const announcements: Array<
     (said: ReturnType<typeof announcementOf>) => void
   > = [];
-  logBeliefs({
+  logStateChanges({
     announcer: {onChange: observe => void announcements.push(observe)},
     endpoints,
     onConfiguration: observe => void configurations.push(observe),
--- a/src/node/beliefs.ts
+++ b/src/node/state-changes.ts
@@ -11,7 +11,7 @@
 import type {Timers} from '../time/timers.js';
 
 /** Options of `logBeliefs`. */
-export interface BeliefsOptions {
+export interface StateChangesOptions {
   readonly announcer: Pick<Announcer, 'onChange'>;
   readonly endpoints: EndpointView;
   readonly onConfiguration: (
@@ -27,7 +27,7 @@
 const linesAtOnce = 200;
 
 /** Logs each belief as it changes, up to a rate. */
-export function logBeliefs(options: BeliefsOptions): void {
+export function logStateChanges(options: StateChangesOptions): void {
   const {endpoints, timers} = options;
   const log = options.log.scope('beliefs');
   const budget = createLineBudget({
--- a/src/relay/distribution-host.ts
+++ b/src/relay/distribution-host.ts
@@ -27,7 +27,7 @@
   /** Where nodes and fellow homes reach it. */
   readonly address: Address;
   /** Where fellow homes of the same kind are reached, this one among them. */
-  readonly fellows: () => readonly Address[];
+  readonly peers: () => readonly Address[];
   /** Homes that nodes and relays are told of; default none. */
   readonly homes?: () => readonly HomeAddress[];
   readonly source: DistributorOptions['source'];
@@ -49,9 +49,9 @@
   readonly registry: Registry;
   readonly evidence: EvidenceExchange;
   /** Shares endpoints and reports over a link that this process opened. */
-  join(channels: Channels): void;
+  attach(channels: Channels): void;
   /** Links to the fellow homes that there are now. */
-  follow(): void;
+  updatePeers(): void;
   stop(): Promise<void>;
 }
 
@@ -73,7 +73,7 @@
     timers,
     log,
     position: distributor.position,
-    fellows: () => options.fellows().filter(one => one !== address).length,
+    fellows: () => options.peers().filter(one => one !== address).length,
     ...(options.homes !== undefined && {homes: options.homes}),
   });
 
@@ -107,7 +107,7 @@
     network,
     self,
     address,
-    peers: options.fellows(),
+    peers: options.peers(),
     timers,
     random,
     log,
@@ -120,8 +120,8 @@
     fleet,
     registry,
     evidence,
-    join,
-    follow: () => mesh.follow(options.fellows()),
+    attach: join,
+    updatePeers: () => mesh.follow(options.peers()),
     async stop() {
       mesh.stop();
       distributor.stop();
--- a/src/relay/run.ts
+++ b/src/relay/run.ts
@@ -38,7 +38,7 @@
   const host = await createDistributionHost({
     self,
     address: settings.distributionAddress,
-    fellows: () => settings.relays,
+    peers: () => settings.relays,
     source: subscriber.sections,
     barrier: subscriber.barrier,
     asOf: home.asOf,
@@ -49,7 +49,7 @@
     random,
     log,
   });
-  home.onChannels(host.join);
+  home.onChannels(host.attach);
   home.onReport(host.fleet.receive);
   subscriber.onSwitch(({version}) => admin.metrics.inForce(version));
   const adminServer = await admin.listen({
--- a/src/request/transport/framed-link.ts
+++ b/src/request/transport/framed-link.ts
@@ -131,7 +131,7 @@
 
   function hear(): void {
     heardAt = timers.now();
-    watch.hear();
+    watch.recordActivity();
   }
 
   function begin(call: number, one: Pending): void {
@@ -207,7 +207,7 @@
       };
     },
     look: () => {
-      const hearing = watch.look();
+      const hearing = watch.check();
       if (pending.size === 0 || link === undefined) return;
       if (hearing === 'silent') {
         log.warn('gate link silent', {gate: address, calls: pending.size});
--- a/src/time/loop-delay.test.ts
+++ b/src/time/loop-delay.test.ts
@@ -7,7 +7,7 @@
   const fake = createFakeTimers();
   const timers = createFreezableTimers(fake);
   const looks: number[] = [];
-  const delay = watchLoopDelay({timers, onLook: late => looks.push(late)});
+  const delay = watchLoopDelay({timers, onSample: late => looks.push(late)});
   const hold = (duration: number) => {
     timers.freeze();
     fake.advance(duration);
--- a/src/time/loop-delay.ts
+++ b/src/time/loop-delay.ts
@@ -16,7 +16,7 @@
 export interface LoopDelayOptions {
   readonly timers: Timers;
   /** Hears how late the loop was at each look. */
-  readonly onLook?: (late: number) => void;
+  readonly onSample?: (late: number) => void;
 }
 
 /** Milliseconds between two looks; the delays that matter are as long. */
@@ -29,7 +29,7 @@
 const meanOver = 300;
 
 /** The delay of a loop that is never late. */
-export const promptLoop: LoopDelay = {current: () => 0, mean: () => 0};
+export const noLoopDelay: LoopDelay = {current: () => 0, mean: () => 0};
 
 /** Watches the loop until cancelled. */
 export function watchLoopDelay(
@@ -47,7 +47,7 @@
     delay = Math.max(late, delay * kept);
     const weight = 1 - Math.exp(-(late + lookEvery) / meanOver);
     mean += (late - mean) * weight;
-    options.onLook?.(late);
+    options.onSample?.(late);
   });
 
   return {
--- a/src/time/silence-watch.test.ts
+++ b/src/time/silence-watch.test.ts
@@ -6,9 +6,9 @@
   const timers = createFakeTimers();
   const watch = createSilenceWatch(timers, 1000, 3000);
   const hearings: string[] = [];
-  timers.every(1000, () => hearings.push(watch.look()));
+  timers.every(1000, () => hearings.push(watch.check()));
   timers.advance(1500);
-  watch.hear();
+  watch.recordActivity();
   timers.advance(4000);
   t.deepEqual(hearings, ['heard', 'heard', 'heard', 'heard', 'silent']);
 });
@@ -19,15 +19,15 @@
   const timers = createFakeTimers();
   const watch = createSilenceWatch(timers, 1000, 3000);
   timers.advance(1000);
-  t.is(watch.look(), 'heard');
+  t.is(watch.check(), 'heard');
   timers.advance(10_000);
-  t.is(watch.look(), 'paused');
+  t.is(watch.check(), 'paused');
   timers.advance(1000);
-  t.is(watch.look(), 'heard');
+  t.is(watch.check(), 'heard');
   for (let look = 0; look < 2; look++) {
     timers.advance(1000);
-    t.is(watch.look(), 'heard');
+    t.is(watch.check(), 'heard');
   }
   timers.advance(1000);
-  t.is(watch.look(), 'silent');
+  t.is(watch.check(), 'silent');
 });
--- a/src/time/silence-watch.ts
+++ b/src/time/silence-watch.ts
@@ -1,14 +1,14 @@
 import type {Timers} from './timers.js';
 
 /** What a look at the other end of a link found. */
-export type Hearing = 'heard' | 'silent' | 'paused';
+export type LinkActivity = 'heard' | 'silent' | 'paused';
 
 /** Notices that nothing is heard any more. */
 export interface SilenceWatch {
   /** Tells that the other end was heard. */
-  hear(): void;
+  recordActivity(): void;
   /** To be called once each period. */
-  look(): Hearing;
+  check(): LinkActivity;
 }
 
 /**
@@ -26,10 +26,10 @@
   let lookedAt = heardAt;
 
   return {
-    hear() {
+    recordActivity() {
       heardAt = timers.now();
     },
-    look() {
+    check() {
       const now = timers.now();
       const isLate = now - lookedAt > 2 * period;
       lookedAt = now;
