--- a/src/cli/engine.ts
+++ b/src/cli/engine.ts
@@ -1,24 +1,24 @@
 import {setFlagsFromString} from 'node:v8';
 
 /**
- * Options of the engine for nodes. Only nodes ask for them; control and relays
- * have VMs of their own and larger work.
+ * V8 options for nodes. Control processes and relays do not use them, since they
+ * run on separate VMs and have larger workloads.
  *
- * The heap's young generation stays at the size that it starts with. Left
- * alone, V8 doubles it under load and keeps it: a node at 50 calls a second
- * held 40 to 50 MB of its own instead of 35, without a gain in latency.
+ * The young generation of the heap keeps its initial size. By default V8 doubles
+ * it under load and does not shrink it: a node with 50 calls a second then held 40
+ * to 50 MB of private memory instead of 35, without a gain in latency.
  *
- * A function is optimized after four times the work that V8 waits for. A node
- * serves tens of requests a second on a small part of a core: code optimized
- * early sees shapes that it was not optimized for and is thrown away, and its
- * compiler takes more than the code saves.
+ * A function is optimized after four times the default amount of execution. A node
+ * serves tens of requests a second on a fraction of a core. Code that is optimized
+ * early meets object shapes that it was not optimized for and is discarded, and its
+ * compilation costs more time than the code saves.
  */
 export const nodeEngineOptions = [
   '--semi-space-growth-factor=1',
   '--interrupt-budget=270000',
 ];
 
-/** Sets up the engine for a node; to be called before its work begins. */
+/** Sets the V8 options of a node; must be called before the node starts. */
 export function tuneEngineForNode(): void {
   for (const option of nodeEngineOptions) setFlagsFromString(option);
 }
--- a/src/cli/stop-signals.test.ts
+++ b/src/cli/stop-signals.test.ts
@@ -12,7 +12,7 @@
   return {signals, exits};
 }
 
-test('a stop signal begins one planned stop and exits 0 when it has ended', async t => {
+test('a stop signal starts one planned stop and exits 0 when it has ended', async t => {
   let finish = () => {};
   let stops = 0;
   const {signals, exits} = start(() => {
@@ -21,7 +21,7 @@
   });
   signals.emit('SIGTERM');
   await settle();
-  t.deepEqual(exits, [], 'work in flight holds the process');
+  t.deepEqual(exits, [], 'the process waits for work in flight');
   finish();
   await settle();
   t.deepEqual(exits, [0]);
--- a/src/cli/stop-signals.ts
+++ b/src/cli/stop-signals.ts
@@ -3,11 +3,11 @@
 import type {StopSignal} from '../process/exit-codes.js';
 import type {Log} from '../log/log.js';
 
-/** What a stop signal acts on. */
+/** Options of `handleStopSignals`. */
 export interface StopOptions {
-  /** Where signals come from: `process`, or a stand-in in tests. */
+  /** The source of signals: `process`, or a fake in tests. */
   readonly signals: EventEmitter;
-  /** Begins the planned stop; resolves when all work in flight has ended. */
+  /** Starts the planned stop; resolves when all work in flight has ended. */
   readonly stop: () => Promise<void>;
   /** Ends the process. */
   readonly exit: (code: number) => void;
@@ -15,21 +15,21 @@
 }
 
 /**
- * Makes SIGTERM and SIGINT a planned stop. The stop begins once, however many
- * signals come; a second signal is an operator who will not wait, so it ends
- * the process at once and cuts what is in flight.
+ * Starts a planned stop on SIGTERM or SIGINT. A second signal means that the
+ * operator does not want to wait: it ends the process at once and aborts the work
+ * in flight.
  */
 export function handleStopSignals(options: StopOptions): void {
   const {signals, stop, exit, log} = options;
-  let stopping = false;
+  let isStopping = false;
 
   function receive(signal: StopSignal): void {
-    if (stopping) {
-      log.warn('second stop signal: ending at once', {signal});
+    if (isStopping) {
+      log.warn('second stop signal; exiting immediately', {signal});
       exit(signalExitCode(signal));
       return;
     }
-    stopping = true;
+    isStopping = true;
     log.info('stopping', {signal});
     stop().then(
       () => {
@@ -37,7 +37,7 @@
         exit(exitCodes.ok);
       },
       (error: Error) => {
-        log.error('the stop failed', {error: error.message});
+        log.error('planned stop failed', {error: error.message});
         exit(exitCodes.failed);
       },
     );
--- a/src/cli/version.ts
+++ b/src/cli/version.ts
@@ -1,4 +1,4 @@
-/** The program's version; the build replaces it by that of package.json. */
+/** The version of the program; the build replaces it with that of package.json. */
 declare const FOXBARROW_VERSION: string | undefined;
 
 export const version =
--- a/src/distribution/in-force.test.ts
+++ b/src/distribution/in-force.test.ts
@@ -161,7 +161,7 @@
     const {accept, node, stage} = await attachNode(0);
     let links = 0;
     node.home.onChannels(() => links++);
-    stage.network.addDelay('node-1', extra);
+    stage.network.slow('node-1', extra);
     let most = 0;
     for (let change = 0; change < 20; change++) {
       most = Math.max(most, await accept());
@@ -177,7 +177,7 @@
 for (const extra of [350, 700]) {
   test(`a node whose own link takes ${extra} ms more each way finds another home`, async t => {
     const {accept, cut, stage} = await attachNode(0);
-    stage.network.addDelay('node-1', extra);
+    stage.network.slow('node-1', extra);
     await stage.timers.advanceAsync(3000);
     cut('control-1');
     const elapsed = await accept();
--- a/src/link/fakes/fake-network.ts
+++ b/src/link/fakes/fake-network.ts
@@ -16,7 +16,7 @@
   /** Lets messages travel again in both directions between all processes. */
   heal(): void;
   /** Messages of one process take `delay` milliseconds longer each way. */
-  addDelay(name: string, delay: number): void;
+  slow(name: string, delay: number): void;
   /** Closes every link of one process, as its death would. */
   kill(name: string): void;
   /** Decides each message's fate; the default delivers all. */
@@ -184,7 +184,7 @@
       })(),
     cut: (source, target) => void cuts.add(`${source}>${target}`),
     heal: () => cuts.clear(),
-    addDelay: (name, extra) => void slowed.set(name, extra),
+    slow: (name, extra) => void slowed.set(name, extra),
     kill(name) {
       for (const [address, listener] of listeners) {
         if (listener.owner === name) listeners.delete(address);
--- a/src/node/claims.ts
+++ b/src/node/claims.ts
@@ -1,4 +1,4 @@
-/** A node's two parts in claims: it asks keepers, and may be one. */
+/** The claims of a node: it acquires claims at keepers, and may run a keeper itself. */
 import {createClaims} from '../claims/create-claims.js';
 import type {KeeperClaims} from '../claims/create-claims.js';
 import {createKeeper} from '../claims/keeper.js';
@@ -12,28 +12,28 @@
 import type {Process} from '../process/process.js';
 import type {NodeSettings} from '../settings/schema.js';
 
-/** Settings bits and process parts. */
+/** Options of `createNodeClaims`. */
 export interface NodeClaimsOptions {
   readonly settings: NodeSettings;
   readonly process: Process;
   readonly metrics: Metrics;
-  /** The configuration in force, undefined until one is proved fresh. */
+  /** The configuration in force; undefined until one is proved to be fresh. */
   readonly configuration: () => Configuration | undefined;
 }
 
 /** Claims of one node. */
 export interface NodeClaims {
   readonly claims: KeeperClaims;
-  /** What it announces of its keeper; undefined when it has none. */
+  /** The keeper that the node announces; undefined if it runs none. */
   readonly offer: KeeperOffer | undefined;
-  /** Takes the keeper sets of a new configuration. */
+  /** Passes the keeper assignments of a new configuration to the node's keeper. */
   updateAssignments(configuration: Configuration): void;
-  /** Hands its keeper's claims over before a planned stop, within a limit. */
-  handOver(limit: number): Promise<void>;
+  /** Hands over the keeper's claims before a planned stop, within `limit` milliseconds. */
+  leave(limit: number): Promise<void>;
   stop(): Promise<void>;
 }
 
-/** Starts them; the keeper listens when it resolves. */
+/** Starts the claims of a node; resolves when the keeper, if there is one, listens. */
 export async function createNodeClaims(
   options: NodeClaimsOptions,
 ): Promise<NodeClaims> {
@@ -46,27 +46,28 @@
     answerLimit: settings.claimAnswerLimit,
   });
   const keeper = await startKeeper(options, offer);
-  const reporting = process.timers.every(reportEvery, () => {
+  const reports = process.timers.every(reportPeriod, () => {
     if (keeper === undefined) return;
     metrics.claims({held: keeper.size, limit: settings.claimLimit});
   });
-  const seen = new Map<string, KeeperAssignment>();
+  const assignments = new Map<string, KeeperAssignment>();
 
   return {
     claims,
     offer,
     updateAssignments({services}) {
       for (const [name, {keepers}] of services) {
-        if (keepers === undefined || seen.get(name) === keepers) continue;
-        seen.set(name, keepers);
+        if (keepers === undefined || assignments.get(name) === keepers)
+          continue;
+        assignments.set(name, keepers);
         keeper?.assign(name, keepers);
       }
     },
-    async handOver(limit) {
-      await keeper?.leave(Math.min(limit, leaveLimit));
+    async leave(limit) {
+      await keeper?.leave(Math.min(limit, maxHandoverTime));
     },
     async stop() {
-      reporting.cancel();
+      reports.cancel();
       claims.stop();
       await keeper?.stop();
     },
@@ -96,16 +97,16 @@
     limits: {
       retention: settings.claimRetention,
       claims: settings.claimLimit,
-      watchers: claimWatchers,
+      watchers: maxClaimWatchers,
     },
   });
 }
 
-/** Milliseconds between two reports of claims held. */
-const reportEvery = 1000;
+/** Milliseconds between two reports of the number of claims held. */
+const reportPeriod = 1000;
 
-/** Milliseconds for which a planned stop waits for other keepers. */
-const leaveLimit = 5000;
+/** Maximum number of milliseconds for which a planned stop waits for other keepers. */
+const maxHandoverTime = 5000;
 
-/** Gates that may wait for the outcome of one claim. */
-const claimWatchers = 16;
+/** Maximum number of gates that wait for the outcome of one claim. */
+const maxClaimWatchers = 16;
--- a/src/node/code-warm-up.ts
+++ b/src/node/code-warm-up.ts
@@ -1,10 +1,10 @@
 /**
- * Has the code of the request path compiled before callers need it. In its
- * first thousand requests a process takes three to four times the processor
- * time for each; on half a core that is more than there is, and the first
- * callers after a start wait. While no caller is there yet, a node therefore
- * sends requests through an entry and a gate of its own making to a stand-in
- * upstream in the same process.
+ * Warms up the code of the request path, so that it is compiled before callers
+ * need it. Each of the first thousand requests of a process takes three to four
+ * times the usual processor time; on half a core that exceeds the capacity, and
+ * the first callers after a start wait. Before the first caller arrives, a node
+ * therefore sends requests through a temporary entry and gate to a fake upstream
+ * in the same process.
  */
 import {createServer} from 'node:http';
 import type {IncomingMessage, RequestListener} from 'node:http';
@@ -28,19 +28,19 @@
 import type {UpstreamProtocol} from '../request/transport/upstream-protocol.js';
 import type {Timers} from '../time/timers.js';
 
-/** What requests and answers of the deployment look like. */
+/** Sample requests and responses like those of the deployment. */
 export interface SampleTraffic {
-  /** Headers of a request, names and values by turns. */
+  /** Headers of a request; names and values alternate. */
   readonly request: (id: string) => string[];
-  /** Headers of the upstream's answer, names and values by turns. */
+  /** Headers of the upstream's response; names and values alternate. */
   readonly answer: (request: IncomingMessage) => string[];
 }
 
 /** Options of `warmUpCode`. */
 export interface CodeWarmUpOptions {
-  /** Requests that are sent at most. */
+  /** Maximum number of requests that are sent. */
   readonly requests: number;
-  /** Asked before each request; false ends the warm-up. */
+  /** Called before each request; false ends the warm-up. */
   readonly shouldContinue: () => boolean;
   readonly callers?: CallerProtocol | undefined;
   readonly upstreams?: ((upstream: Upstream) => UpstreamProtocol) | undefined;
@@ -53,13 +53,13 @@
 const anyPort = '127.0.0.1:0';
 const log = createSilentLog();
 
-/** Requests under way at once; enough that events come together as under load. */
+/** Number of concurrent requests; enough that events interleave as under load. */
 const concurrency = 4;
 
-/** One request in so many has a body. */
+/** Every nth request has a body. */
 const bodyPeriod = 4;
 
-/** Bytes of a body and of an answer, as of a booking or a lookup. */
+/** Size of a request or response body in bytes, similar to a booking or a lookup. */
 const sampleBytes = 1024;
 
 const headerLimit = 16 * 1024;
@@ -88,7 +88,7 @@
   ]),
 };
 
-/** Runs it; resolves with the number of requests that were answered. */
+/** Runs the warm-up; resolves with the number of requests that were answered. */
 export async function warmUpCode(options: CodeWarmUpOptions): Promise<number> {
   if (options.requests === 0) return 0;
   const upstream = await openServer(
@@ -209,17 +209,17 @@
   let sent = 0;
   let answered = 0;
 
-  async function sendInTurn(): Promise<void> {
+  async function sendSequentially(): Promise<void> {
     while (sent < options.requests && options.shouldContinue()) {
       if (await send(connections, sent++, options.traffic)) answered++;
     }
   }
 
-  await Promise.all(Array.from({length: concurrency}, sendInTurn));
+  await Promise.all(Array.from({length: concurrency}, sendSequentially));
   return answered;
 }
 
-/** Sends one request; tells whether an answer came whole. */
+/** Sends one request; resolves with whether its response was complete. */
 function send(
   connections: Connections,
   number: number,
@@ -239,7 +239,7 @@
         onHeaders: () => true,
         onData: () => true,
         onComplete: () => resolve(true),
-        // Nobody waits for the answer; a node without it starts cold.
+        // A failure is not fatal; without warm-up the first requests are slower.
         onError: () => resolve(false),
       },
     );
--- a/src/node/homes.ts
+++ b/src/node/homes.ts
@@ -2,12 +2,12 @@
 import {parseAddress} from '../link/address.js';
 import type {NodeSettings} from '../settings/schema.js';
 
-/** The homes, at the port of all of them where settings give one. */
+/** Returns the homes; the setting `homePort`, if given, replaces each port. */
 export function resolveHomes({homes, homePort}: NodeSettings): HomeAddress[] {
   return homes.map(home => {
-    const {address, ...place} =
+    const {address, ...location} =
       typeof home === 'string' ? {address: home} : home;
-    if (homePort === undefined) return {address, ...place};
-    return {address: `${parseAddress(address).host}:${homePort}`, ...place};
+    if (homePort === undefined) return {address, ...location};
+    return {address: `${parseAddress(address).host}:${homePort}`, ...location};
   });
 }
--- a/src/node/link-share.ts
+++ b/src/node/link-share.ts
@@ -1,4 +1,4 @@
-/** How much of its VM's link a node lets large bodies and answers take. */
+/** The share of the VM's network link that large request and response bodies may use. */
 import {placesFor} from '../request/decisions/body-places.js';
 import {createEgressReservations} from '../request/decisions/egress-reservations.js';
 import type {EgressReservations} from '../request/decisions/egress-reservations.js';
@@ -13,19 +13,19 @@
 import type {NodeSettings} from '../settings/schema.js';
 import type {Timers} from '../time/timers.js';
 
-/** The shares of the link in and of the link out, which don't share a rate. */
+/** Shares of the inbound and the outbound link, whose rates are independent. */
 export interface LinkShare {
-  /** How fast they are read together. */
+  /** Limits the total rate at which uploads are read. */
   readonly uploadPacer: Pace;
-  /** How many uploads the gate takes in at once. */
+  /** Maximum number of uploads that the gate receives concurrently. */
   readonly uploadSlots: number;
-  /** The way out for the answers that it sends. */
+  /** Queue of the responses that the node sends. */
   readonly egressQueue: EgressQueue;
-  /** Room for the answers of its upstream. */
+  /** Reserves outbound capacity for the responses of the upstream. */
   readonly reservations: EgressReservations;
 }
 
-/** Resolves the share; undefined where no setting tells the link's rate. */
+/** Creates the share; undefined if the settings don't give the rate of the link. */
 export function resolveLinkShare(
   {linkRate}: Pick<NodeSettings, 'linkRate'>,
   timers: Timers,
--- a/src/node/listening.test.ts
+++ b/src/node/listening.test.ts
@@ -4,7 +4,7 @@
 
 const timeout = 10_000;
 
-test('an upstream whose process ended is told from one that breaks connections', async t => {
+test('an upstream whose process ended is distinguished from one that closes connections', async t => {
   const server = await createRawServer(socket => socket.destroy());
   t.true(await isListening(server.address, timeout));
   await server.close();
--- a/src/node/listening.ts
+++ b/src/node/listening.ts
@@ -1,11 +1,12 @@
-/** Whether the upstream's process is there, by a connection of its own. */
+/** Checks with a separate connection whether the upstream's process is running. */
 import {createConnection} from 'node:net';
 import {parseAddress} from '../link/address.js';
 import type {Address} from '../link/link.js';
 
 /**
- * Resolves with false when a connection is refused. One that is not answered
- * within `timeout` milliseconds is a process that stands still, not an end.
+ * Resolves with false when the connection is refused. A connection attempt that
+ * is not answered within `timeout` milliseconds resolves with true: the process is
+ * stalled, but it has not ended.
  */
 export function isListening(
   address: Address,
@@ -13,12 +14,12 @@
 ): Promise<boolean> {
   return new Promise(resolve => {
     const socket = createConnection(parseAddress(address));
-    const end = (listens: boolean) => {
+    const finish = (listens: boolean) => {
       socket.destroy();
       resolve(listens);
     };
-    socket.setTimeout(timeout, () => end(true));
-    socket.once('connect', () => end(true));
-    socket.once('error', () => end(false));
+    socket.setTimeout(timeout, () => finish(true));
+    socket.once('connect', () => finish(true));
+    socket.once('error', () => finish(false));
   });
 }
--- a/src/node/own-service.ts
+++ b/src/node/own-service.ts
@@ -3,9 +3,9 @@
 import type {Membership} from '../endpoints/membership.js';
 
 /**
- * A node always wants the service of its own upstream too. Without it an
- * operator's drain of that upstream would not reach the gate that must obey
- * it, and the keeper beside it would never learn of its set.
+ * Subscribes a node to the service of its own upstream in addition to the
+ * services that it calls. Otherwise an operator's drain of that upstream would
+ * not reach its gate, and the node's keeper would not receive its assignment.
  */
 export function subscribeToOwnService(
   calls: readonly string[],
@@ -13,10 +13,10 @@
   subscriber: Subscriber,
   membership: Membership,
 ): void {
-  let own: string | undefined;
+  let ownService: string | undefined;
   announcer.onChange(({service}) => {
-    if (service === own) return;
-    own = service;
+    if (service === ownService) return;
+    ownService = service;
     const services = [...new Set([...calls, service])];
     subscriber.subscribe(services);
     membership.subscribe(services);
--- a/src/node/parts.ts
+++ b/src/node/parts.ts
@@ -7,15 +7,15 @@
 import type {UpstreamProtocol} from '../request/transport/upstream-protocol.js';
 import type {SampleTraffic} from './code-warm-up.js';
 
-/** Parts that a deployment's platform may bring; the product's own are default. */
+/** Adapters for the platform of a deployment; each replaces a default. */
 export interface NodeParts {
-  /** The dialect of callers. */
+  /** The protocol of callers. */
   readonly callers?: CallerProtocol;
-  /** The dialect of one upstream. */
+  /** Creates the protocol of one upstream. */
   readonly upstreams?: (upstream: Upstream) => UpstreamProtocol;
-  /** What requests and answers look like, for the warm-up of the code. */
+  /** Sample requests and responses for the warm-up of the code. */
   readonly sampleTraffic?: SampleTraffic;
-  /** Opens the listener where the upstream announces itself. */
+  /** Opens the listener that receives the upstream's announcements. */
   readonly listenForUpstream?: (
     options: AnnounceServerOptions,
   ) => Promise<AnnounceServer>;
--- a/src/node/planned-stop.test.ts
+++ b/src/node/planned-stop.test.ts
@@ -4,10 +4,10 @@
 import {createFakeTimers, settle} from '../time/fakes/fake-timers.js';
 import {stopInOrder} from './planned-stop.js';
 
-function stage({grace = 3_500, hasUpstream = true} = {}) {
+function setUp({grace = 3_500, hasUpstream = true} = {}) {
   const timers = createFakeTimers();
   const steps: string[] = [];
-  const note = (step: string) => async () => {
+  const record = (step: string) => async () => {
     steps.push(`${step} at ${timers.now()}`);
   };
   const announcer = createAnnouncer({
@@ -27,15 +27,15 @@
       state: 'serving',
     });
   }
-  announcer.onChange(({state}) => void note(state)());
+  announcer.onChange(({state}) => void record(state)());
   const stopped = stopInOrder(
     {
       announcer,
-      announceServer: {address: '127.0.0.1:3', close: note('heartbeats')},
-      entry: {stop: note('entry')},
-      gate: {stop: note('gate')},
-      gateServer: {stop: note('links')},
-      handOverClaims: note('claims'),
+      announceServer: {address: '127.0.0.1:3', close: record('heartbeats')},
+      entry: {stop: record('entry')},
+      gate: {stop: record('gate')},
+      gateServer: {stop: record('links')},
+      handOverClaims: record('claims'),
       gracePeriod: grace,
       timers,
     },
@@ -44,11 +44,11 @@
   return {timers, steps, stopped};
 }
 
-test('a gate stays open until near the end of the grace for callers', async t => {
-  // Nodes are restarted one after the other, each with a grace of seconds for
-  // its callers. With the gate closed for all of it, callers of the service wait
-  // or are refused for want of instances that are all well.
-  const {timers, steps, stopped} = stage();
+test('a gate stays open until shortly before the end of the grace period for callers', async t => {
+  // In a rolling restart each node has a grace period of some seconds for its
+  // callers. If the gate were closed for all of it, callers of the service would
+  // wait or be refused although all instances are healthy.
+  const {timers, steps, stopped} = setUp();
   await settle();
   t.deepEqual(steps, ['entry at 0']);
   timers.advance(1_999);
@@ -69,7 +69,7 @@
 
 for (const options of [{grace: 500}, {hasUpstream: false}]) {
   test(`a gate closes at once, ${JSON.stringify(options)}`, async t => {
-    const {steps, stopped} = stage(options);
+    const {steps, stopped} = setUp(options);
     await stopped;
     t.true(steps.includes('gate at 0'));
   });
--- a/src/node/planned-stop.ts
+++ b/src/node/planned-stop.ts
@@ -1,4 +1,4 @@
-/** The order in which a node stops, so that neither callers nor its service lose more than they must. */
+/** Stops the parts of a node in an order that loses as few requests as possible. */
 import type {AnnounceServer} from '../endpoints/announce-server.js';
 import type {Announcer} from '../endpoints/announcer.js';
 import type {Entry} from '../request/entry.js';
@@ -6,51 +6,53 @@
 import type {Listener} from '../request/transport/listener.js';
 import type {Timers} from '../time/timers.js';
 
-/** What stops in order; times in milliseconds. */
+/** Options of `stopInOrder`; times in milliseconds. */
 export interface PlannedStopOptions {
   readonly announcer: Announcer;
   readonly announceServer: AnnounceServer | undefined;
   readonly entry: Pick<Entry, 'stop'>;
   readonly gate: Pick<Gate, 'stop'>;
   readonly gateServer: Pick<Listener, 'stop'>;
-  /** Gives the node's claims to others within a time. */
-  readonly handOverClaims: (within: number) => Promise<void>;
-  /** How long the entry serves what keep-alive callers still send. */
+  /** Hands over the node's claims to other keepers within a time limit. */
+  readonly handOverClaims: (limit: number) => Promise<void>;
+  /** How long the entry still serves requests on keep-alive connections. */
   readonly gracePeriod: number;
   readonly timers: Timers;
 }
 
 /**
- * Milliseconds before the end of the entry's grace at which the gate closes. The
- * grace is for callers of the entry; with the gate closed for all of it, a
- * restart of each node in turn took a third of a service out though every
- * instance was well. Other nodes hear of a drain in some tenths of a second, and
- * work of a second ends within the rest.
+ * Milliseconds before the end of the entry's grace period at which the gate
+ * closes. The grace period is meant for callers of the entry. If the gate were
+ * closed for all of it, a rolling restart would make a third of a service's
+ * instances unavailable though all of them are healthy. Other nodes learn of a
+ * drain within some tenths of a second, and requests that take a second finish in
+ * the remaining time.
  */
-const gateClosing = 1500;
+const gateClosingLead = 1500;
 
-/** Stops within `deadline` milliseconds. */
+/** Stops a node within `deadline` milliseconds. */
 export async function stopInOrder(
   options: PlannedStopOptions,
   deadline: number,
 ): Promise<void> {
   const {announcer, entry, gate, timers} = options;
   const end = timers.now() + deadline;
-  const left = () => Math.max(0, end - timers.now());
-  const entryStopped = entry.stop(left());
+  const remaining = () => Math.max(0, end - timers.now());
+  const entryStopped = entry.stop(remaining());
   await waitWithOpenGate(options, deadline);
   await options.announceServer?.close();
-  // Entries stop choosing the gate before it refuses their work.
+  // Announce the drain first, so that entries stop choosing the gate before it
+  // refuses their requests.
   const upstream = announcer.upstream();
   if (upstream !== undefined) {
     announcer.announce({...upstream, state: 'draining'});
   }
   await Promise.all([
     entryStopped,
-    gate.stop(left()),
-    options.handOverClaims(left()),
+    gate.stop(remaining()),
+    options.handOverClaims(remaining()),
   ]);
-  await options.gateServer.stop(left());
+  await options.gateServer.stop(remaining());
   announcer.withdraw();
 }
 
@@ -58,8 +60,9 @@
   {announcer, gracePeriod: grace, timers}: PlannedStopOptions,
   deadline: number,
 ): Promise<void> {
-  const open = Math.min(grace, deadline) - gateClosing;
-  // Nothing is served behind a gate whose upstream has left.
-  if (open <= 0 || announcer.upstream() === undefined) return Promise.resolve();
-  return new Promise(resolve => void timers.after(open, resolve));
+  const openTime = Math.min(grace, deadline) - gateClosingLead;
+  // A gate without an upstream serves no requests.
+  if (openTime <= 0 || announcer.upstream() === undefined)
+    return Promise.resolve();
+  return new Promise(resolve => void timers.after(openTime, resolve));
 }
--- a/src/node/request-path.ts
+++ b/src/node/request-path.ts
@@ -1,4 +1,4 @@
-/** The listeners of a node: for its callers, and for the entries of others. */
+/** The listeners of a node: one for its callers, one for the entries of other nodes. */
 import {reportAttempt, reportOutcome} from '../admin/report-outcome.js';
 import type {Configuration} from '../configuration/configuration.js';
 import type {Home} from '../distribution/home.js';
@@ -25,24 +25,24 @@
   readonly process: Pick<Process, 'timers' | 'random' | 'log'>;
   readonly loopDelay: LoopDelay;
   readonly metrics: Metrics;
-  /** The configuration in force, undefined until one is proved fresh. */
+  /** The configuration in force; undefined until one is proved to be fresh. */
   readonly configuration: () => Configuration | undefined;
   readonly home: Home;
   readonly table: EndpointTable;
   readonly membership: Membership;
   readonly gate: Gate;
   readonly linkShare: LinkShare | undefined;
-  /** Hears of each request that was answered after an upstream broke off. */
+  /** Called for each request that was answered after an earlier upstream connection broke. */
   readonly onCleared: (request: string) => void;
 }
 
-/** The listeners, open. */
+/** The open listeners. */
 export interface RequestPath {
   readonly entry: Entry;
   readonly gateServer: GateServer;
 }
 
-/** Opens the listeners; the gate's first, since entries may send to it at once. */
+/** Opens the listeners, the gate's first, since entries may connect to it at once. */
 export async function openRequestPath(
   options: RequestPathOptions,
 ): Promise<RequestPath> {
@@ -97,7 +97,7 @@
   return {entry, gateServer};
 }
 
-/** Whether a quorum has confirmed of late that no newer configuration is known. */
+/** Whether a quorum confirmed within `freshness` milliseconds that no newer version exists. */
 function isConfirmed(home: Home, timers: Timers, freshness: number): boolean {
   const asOf = home.asOf();
   return asOf !== undefined && timers.now() - asOf <= freshness;
--- a/src/node/start-warm-up.ts
+++ b/src/node/start-warm-up.ts
@@ -3,16 +3,19 @@
 import {warmUpCode} from './code-warm-up.js';
 import type {NodeParts} from './parts.js';
 
-/** Has the code compiled beside the process's start; a failure costs speed only. */
+/**
+ * Starts the warm-up of the code in the background; if it fails, the first
+ * requests are slower.
+ */
 export function startWarmUp(
   settings: NodeSettings,
   {timers, random, log}: Process,
   parts: NodeParts,
-  isWanted: () => boolean,
+  shouldContinue: () => boolean,
 ): void {
   const warmUp = warmUpCode({
     requests: settings.warmUpRequests,
-    shouldContinue: isWanted,
+    shouldContinue,
     callers: parts.callers,
     upstreams: parts.upstreams,
     traffic: parts.sampleTraffic,
@@ -21,6 +24,6 @@
   });
   warmUp.then(
     requests => log.info('code warmed up', {requests}),
-    (error: Error) => log.warn('code stays cold', {reason: error.message}),
+    (error: Error) => log.warn('code warm-up failed', {reason: error.message}),
   );
 }
--- a/src/node/state-changes.test.ts
+++ b/src/node/state-changes.test.ts
@@ -9,13 +9,13 @@
 import {createFakeTimers} from '../time/fakes/fake-timers.js';
 import {logStateChanges} from './state-changes.js';
 
-function stage() {
+function setUp() {
   const {log, lines} = createRecordedLog();
   const timers = createFakeTimers(60_000);
   const endpoints = createFakeEndpoints();
   const configurations: Array<(configuration: Configuration) => void> = [];
   const announcements: Array<
-    (said: ReturnType<typeof announcementOf>) => void
+    (announcement: ReturnType<typeof announcementOf>) => void
   > = [];
   logStateChanges({
     announcer: {onChange: observe => void announcements.push(observe)},
@@ -27,8 +27,8 @@
   return {lines, timers, endpoints, configurations, announcements};
 }
 
-test('an instance that comes, changes its state and goes is told of each time', t => {
-  const {lines, endpoints} = stage();
+test('an instance is logged when it appears, changes its state and disappears', t => {
+  const {lines, endpoints} = setUp();
   endpoints.put(announcementOf({instance: 'a', since: 59_000}));
   endpoints.put(announcementOf({instance: 'a', since: 59_000}));
   endpoints.put(announcementOf({instance: 'a', state: 'draining'}));
@@ -44,22 +44,22 @@
   t.is(lines[0]?.fields.stateAge, 1_000);
 });
 
-test('a configuration that comes into force is told by its version', t => {
-  const {lines, configurations} = stage();
+test('a configuration that comes into force is logged with its version', t => {
+  const {lines, configurations} = setUp();
   configurations[0]!(stockConfiguration);
   t.is(lines[0]?.message, 'configuration in force');
   t.is(lines[0]?.fields.version, stockConfiguration.version);
 });
 
-test('the own upstream is told as it announces itself', t => {
-  const {lines, announcements} = stage();
+test('an announcement of the node’s own upstream is logged', t => {
+  const {lines, announcements} = setUp();
   announcements[0]!(announcementOf({state: 'warming'}));
   t.is(lines[0]?.message, 'own upstream');
   t.is(lines[0]?.fields.state, 'warming');
 });
 
-test('a fleet that changes at once is counted beyond the rate', t => {
-  const {lines, timers, endpoints} = stage();
+test('changes beyond the rate limit are counted instead of logged', t => {
+  const {lines, timers, endpoints} = setUp();
   for (let count = 0; count < 1_000; count++) {
     endpoints.put(announcementOf({instance: `i-${count}`}));
   }
--- a/src/node/state-changes.ts
+++ b/src/node/state-changes.ts
@@ -1,7 +1,8 @@
 /**
- * Logs what a node comes to believe: which instances there are, which
- * configuration is in force, what its own upstream says of itself. A request's
- * lines tell what was decided on these beliefs; these tell since when.
+ * Logs changes of the state that a node bases its decisions on: the known
+ * instances, the configuration in force and the announcements of its own upstream.
+ * The log lines of a request show its decisions; these lines show the state at the
+ * time.
  */
 import type {Configuration} from '../configuration/configuration.js';
 import type {Announcer} from '../endpoints/announcer.js';
@@ -21,58 +22,58 @@
   readonly log: Log;
 }
 
-// A release of a service of ten instances is some forty changes; a restart of
-// a whole fleet is counted, not told one by one.
+// A release of a service with ten instances causes about forty changes. During a
+// restart of a whole fleet, changes beyond the limit are only counted.
 const linesPerSecond = 10;
-const linesAtOnce = 200;
+const maxBurst = 200;
 
-/** Logs each belief as it changes, up to a rate. */
+/** Logs each change of the known state, up to a rate. */
 export function logStateChanges(options: StateChangesOptions): void {
   const {endpoints, timers} = options;
   const log = options.log.scope('beliefs');
   const budget = createLineBudget({
     rate: linesPerSecond,
-    burst: linesAtOnce,
+    burst: maxBurst,
     timers,
     log,
   });
-  const believed = new Map<string, Map<string, string>>();
+  const knownStates = new Map<string, Map<string, string>>();
 
-  function tell(message: string, fields: Fields): void {
+  function logLine(message: string, fields: Fields): void {
     if (budget.take(1)) log.info(message, fields);
   }
 
-  function tellInstance(known: KnownInstance): void {
-    const {service, instance, incarnation, state, gate, suspect} = known;
-    tell('instance', {
+  function logInstance(changed: KnownInstance): void {
+    const {service, instance, incarnation, state, gate, suspect} = changed;
+    logLine('instance', {
       service,
       instance,
       incarnation,
       state,
       gate,
       suspect,
-      stateAge: Math.round(timers.wall() - known.since),
+      stateAge: Math.round(timers.wall() - changed.since),
     });
   }
 
   endpoints.onChange(service => {
-    const before = believed.get(service) ?? new Map<string, string>();
+    const before = knownStates.get(service) ?? new Map<string, string>();
     const now = new Map<string, string>();
     for (const known of endpoints.instances(service)) {
       const {instance, incarnation, state, suspect} = known;
-      const word = `${incarnation} ${state} ${suspect === true}`;
-      now.set(instance, word);
-      if (before.get(instance) !== word) tellInstance(known);
+      const knownState = `${incarnation} ${state} ${suspect === true}`;
+      now.set(instance, knownState);
+      if (before.get(instance) !== knownState) logInstance(known);
     }
     for (const instance of before.keys()) {
-      if (!now.has(instance)) tell('instance gone', {service, instance});
+      if (!now.has(instance)) logLine('instance gone', {service, instance});
     }
-    if (now.size > 0) believed.set(service, now);
-    else believed.delete(service);
+    if (now.size > 0) knownStates.set(service, now);
+    else knownStates.delete(service);
   });
 
   options.onConfiguration(({version, services, routes, drains}) =>
-    tell('configuration in force', {
+    logLine('configuration in force', {
       version,
       services: services.size,
       routes: routes.size,
@@ -81,6 +82,6 @@
   );
 
   options.announcer.onChange(({service, instance, incarnation, state}) =>
-    tell('own upstream', {service, instance, incarnation, state}),
+    logLine('own upstream', {service, instance, incarnation, state}),
   );
 }
--- a/src/node/upstream-gate.ts
+++ b/src/node/upstream-gate.ts
@@ -1,6 +1,7 @@
 /**
- * The gate of whatever upstream is announced beside a node. Upstreams come,
- * leave and return with other slots; callers of this gate need not know.
+ * A gate for the upstream that is currently announced beside a node. It replaces
+ * the underlying gate when the upstream is replaced or its size changes; code that
+ * uses this gate does not notice.
  */
 import type {Announcer, Upstream} from '../endpoints/announcer.js';
 import type {Announcement} from '../endpoints/messages.js';
@@ -13,47 +14,48 @@
 /** Options of `createUpstreamGate`; times in milliseconds. */
 export interface UpstreamGateOptions {
   readonly announcer: Announcer;
-  /** Makes the gate of one upstream. */
+  /** Creates the gate of one upstream. */
   readonly create: (announcement: Announcement, upstream: Upstream) => Gate;
-  /** How long work of an upstream that was replaced may still run. */
+  /** How long requests at a replaced upstream may still run. */
   readonly stopDeadline: number;
 }
 
-/** Creates it; follows the announcer from then on. */
+/** Creates the gate and subscribes it to the announcer. */
 export function createUpstreamGate(options: UpstreamGateOptions): Gate {
   const {announcer} = options;
   let gate: Gate | undefined;
-  let shape = '';
-  let stopping = false;
-  const leaving = new Set<Promise<void>>();
+  let identity = '';
+  let isStopping = false;
+  const retiring = new Set<Promise<void>>();
 
-  function follow(announcement: Announcement): void {
+  function update(announcement: Announcement): void {
     const upstream = announcer.upstream();
-    if (announcement.state === 'gone' || upstream === undefined) return leave();
-    const next = shapeOf(announcement, upstream);
-    if (next !== shape) {
-      leave();
+    if (announcement.state === 'gone' || upstream === undefined)
+      return retire();
+    const nextIdentity = identityOf(announcement, upstream);
+    if (nextIdentity !== identity) {
+      retire();
       gate = options.create(announcement, upstream);
-      shape = next;
+      identity = nextIdentity;
     }
     if (announcement.state === 'draining') gate?.drain();
-    else if (!stopping) gate?.undrain();
+    else if (!isStopping) gate?.undrain();
   }
 
-  function leave(): void {
-    if (gate !== undefined && !stopping)
-      finish(gate.stop(options.stopDeadline));
+  function retire(): void {
+    if (gate !== undefined && !isStopping)
+      awaitStop(gate.stop(options.stopDeadline));
     gate = undefined;
-    shape = '';
+    identity = '';
   }
 
-  /** A stop of the node must not cut work that a former gate still runs. */
-  function finish(stop: Promise<void>): void {
-    leaving.add(stop);
-    void stop.finally(() => leaving.delete(stop));
+  /** Keeps track of a replaced gate, so that a stop of the node waits for its requests. */
+  function awaitStop(stop: Promise<void>): void {
+    retiring.add(stop);
+    void stop.finally(() => retiring.delete(stop));
   }
 
-  announcer.onChange(follow);
+  announcer.onChange(update);
 
   return {
     get instance() {
@@ -84,14 +86,14 @@
       gate?.review();
     },
     async stop(deadline) {
-      stopping = true;
-      await Promise.all([gate?.stop(deadline), ...leaving]);
+      isStopping = true;
+      await Promise.all([gate?.stop(deadline), ...retiring]);
     },
   };
 }
 
-/** What makes another gate of it: another life, place or size. */
-function shapeOf(announcement: Announcement, upstream: Upstream): string {
+/** Identifies a gate: another incarnation, address or size requires a new one. */
+function identityOf(announcement: Announcement, upstream: Upstream): string {
   const {instance, service, incarnation, slots, connections} = announcement;
   const parts = [instance, service, incarnation, slots, connections];
   return [...parts, upstream.address].join(' ');
--- a/src/node/upstream-listener.ts
+++ b/src/node/upstream-listener.ts
@@ -1,4 +1,4 @@
-/** Where the upstream beside a node announces itself. */
+/** The listener that receives announcements of the upstream beside a node. */
 import {isBeforeFirst} from '../configuration/configuration.js';
 import type {Configuration} from '../configuration/configuration.js';
 import type {
@@ -10,7 +10,10 @@
 import {defaults} from '../settings/defaults.js';
 import type {NodeSettings} from '../settings/schema.js';
 
-/** An upstream that can't announce itself stands in the settings instead. */
+/**
+ * Opens the listener. It is undefined if the settings give no address for it; then
+ * the upstream can't announce itself and the settings describe it instead.
+ */
 export async function listenForUpstream(
   settings: NodeSettings,
   {timers, log}: Process,
@@ -29,7 +32,7 @@
   });
 }
 
-/** Before the first configuration nothing can be told of a service. */
+/** Whether a service may exist; before the first configuration any service may. */
 export function isPossibleService(
   configuration: Configuration | undefined,
   name: string,
--- a/src/process/process.ts
+++ b/src/process/process.ts
@@ -1,4 +1,4 @@
-/** What every role of the program has. */
+/** Resources that every role of the program uses. */
 import {randomInt} from 'node:crypto';
 import {createTcpNetwork} from '../link/tcp-network.js';
 import type {Network} from '../link/link.js';
@@ -26,7 +26,7 @@
 
 const seedLimit = 2 ** 31;
 
-/** Creates them; processes without a seed must not choose alike. */
+/** Creates the resources; without a seed, each process makes different random choices. */
 export function createProcess(settings: ProcessSettings): Process {
   const log = createLog(settings.name, settings.logLevel);
   return {
--- a/src/process/role.ts
+++ b/src/process/role.ts
@@ -1,15 +1,15 @@
 import type {Settings} from '../settings/schema.js';
 
-/** A role's process once it takes work. */
+/** A role that has started and accepts work. */
 export interface RunningRole {
   /**
-   * The planned stop: takes no new work, ends what is in flight, and resolves.
-   * What still runs after `deadline` milliseconds is cut.
+   * Performs a planned stop: accepts no new work, completes the work in flight,
+   * and resolves. Work that still runs after `deadline` milliseconds is aborted.
    */
   stop(deadline: number): Promise<void>;
-  /** Takes settings that were changed while it runs; absent to need a restart. */
+  /** Applies changed settings at run time; absent if a change requires a restart. */
   reload?(settings: Settings): void;
 }
 
-/** Starts a role; resolves once it takes work. */
+/** Starts a role; resolves once it accepts work. */
 export type RunRole = (settings: Settings) => Promise<RunningRole>;
--- a/src/process/stall-watch.test.ts
+++ b/src/process/stall-watch.test.ts
@@ -4,7 +4,7 @@
 import {createFakeTimers} from '../time/fakes/fake-timers.js';
 import {watchStalls} from './stall-watch.js';
 
-test('a loop that stands still is told with its duration, a quick one is not', t => {
+test('a stall of the event loop is logged with its duration, a short delay is not', t => {
   const fake = createFakeTimers();
   const timers = createFreezableTimers(fake);
   const {log, lines} = createRecordedLog();
--- a/src/process/stall-watch.ts
+++ b/src/process/stall-watch.ts
@@ -1,51 +1,50 @@
 /**
- * Tells when the loop of a process stood still. Heartbeats, votes and answers
- * to pings wait behind any long turn of the loop, so a process that works on
- * one thing for too long looks like a dead one to the others, and its own lines
- * only show a gap.
+ * Reports stalls of the event loop of a process. A long turn of the loop delays
+ * heartbeats, votes and answers to pings, so other processes take a stalled
+ * process for a crashed one, and its own log only shows a gap.
  */
 import {createLineBudget} from '../log/line-budget.js';
 import type {Log} from '../log/log.js';
 import type {Metrics} from '../metrics/metrics.js';
 import type {Subscription, Timers} from '../time/timers.js';
 
-/** What the watch works with. */
+/** Options of `watchStalls`. */
 export interface StallWatchOptions {
   readonly timers: Timers;
   readonly log: Log;
   readonly metrics: Pick<Metrics, 'stalled'>;
 }
 
-/** Milliseconds between two looks; as often as a leader's heartbeat. */
-const lookEvery = 100;
+/** Milliseconds between two checks; equal to the period of a leader's heartbeat. */
+const checkPeriod = 100;
 
 /**
- * Milliseconds of delay that count as a stall: twice the leader's heartbeat,
- * and a third of the silence after which another is elected.
+ * Milliseconds of delay that count as a stall: twice the period of the leader's
+ * heartbeat, and a third of the timeout after which another leader is elected.
  */
-const stallAfter = 200;
+const stallThreshold = 200;
 
-// A process under pressure stalls several times a second.
+// An overloaded process may stall several times a second.
 const linesPerSecond = 2;
-const linesAtOnce = 20;
+const maxBurst = 20;
 
-/** Watches the loop until cancelled. */
+/** Watches the event loop until the subscription is cancelled. */
 export function watchStalls(options: StallWatchOptions): Subscription {
   const {timers, log, metrics} = options;
   const budget = createLineBudget({
     rate: linesPerSecond,
-    burst: linesAtOnce,
+    burst: maxBurst,
     timers,
     log,
   });
-  let lookedAt = timers.now();
+  let checkedAt = timers.now();
 
-  return timers.every(lookEvery, () => {
+  return timers.every(checkPeriod, () => {
     const now = timers.now();
-    const late = now - lookedAt - lookEvery;
-    lookedAt = now;
-    if (late < stallAfter) return;
-    metrics.stalled(late);
-    if (budget.take(1)) log.warn('loop stalled', {duration: Math.round(late)});
+    const delay = now - checkedAt - checkPeriod;
+    checkedAt = now;
+    if (delay < stallThreshold) return;
+    metrics.stalled(delay);
+    if (budget.take(1)) log.warn('loop stalled', {duration: Math.round(delay)});
   });
 }
--- a/src/relay/distribution-host.ts
+++ b/src/relay/distribution-host.ts
@@ -1,7 +1,7 @@
 /**
- * What a process needs to serve nodes: it accepts their links, hands them
- * configuration, keeps their leases and sums their acknowledgements. Control
- * processes and relays run the same one.
+ * The part of a process that serves nodes: it accepts their links, distributes
+ * configuration to them, maintains the leases of their announcements and
+ * aggregates their acknowledgements. Control processes and relays both run it.
  */
 import {createDistributor} from '../distribution/distributor.js';
 import type {DistributorOptions} from '../distribution/distributor.js';
@@ -24,15 +24,15 @@
 /** Options of `createDistributionHost`; times in milliseconds. */
 export interface DistributionHostOptions {
   readonly self: Hello;
-  /** Where nodes and fellow homes reach it. */
+  /** The address at which nodes and other homes reach this process. */
   readonly address: Address;
-  /** Where fellow homes of the same kind are reached, this one among them. */
+  /** The addresses of all homes of the same kind, including this one. */
   readonly peers: () => readonly Address[];
-  /** Homes that nodes and relays are told of; default none. */
+  /** Homes that are announced to nodes and relays; default none. */
   readonly homes?: () => readonly HomeAddress[];
   readonly source: DistributorOptions['source'];
   readonly barrier: DistributorOptions['barrier'];
-  /** Local time at which a quorum last confirmed the source's state. */
+  /** Local time as of which a quorum last confirmed the state of the source. */
   readonly asOf: () => number | undefined;
   readonly batchWindow: number;
   readonly lease: number;
@@ -42,20 +42,20 @@
   readonly log: Log;
 }
 
-/** Serves nodes; see the module. */
+/** The running distribution host. */
 export interface DistributionHost {
   readonly distributor: Distributor;
   readonly fleet: Fleet;
   readonly registry: Registry;
   readonly evidence: EvidenceExchange;
-  /** Shares endpoints and reports over a link that this process opened. */
+  /** Exchanges endpoints and reports over a link that this process opened. */
   attach(channels: Channels): void;
-  /** Links to the fellow homes that there are now. */
+  /** Updates the links to the other homes after `peers` has changed. */
   updatePeers(): void;
   stop(): Promise<void>;
 }
 
-/** Opens the listener and the links to fellow homes. */
+/** Opens the listener and the links to the other homes. */
 export async function createDistributionHost(
   options: DistributionHostOptions,
 ): Promise<DistributionHost> {
@@ -73,7 +73,7 @@
     timers,
     log,
     position: distributor.position,
-    fellows: () => options.peers().filter(one => one !== address).length,
+    fellows: () => options.peers().filter(peer => peer !== address).length,
     ...(options.homes !== undefined && {homes: options.homes}),
   });
 
@@ -90,7 +90,7 @@
     }
   });
 
-  function join(channels: Channels): void {
+  function attach(channels: Channels): void {
     fleet.report(channels);
     registry.peer(channels);
     evidence.peer(channels);
@@ -112,7 +112,7 @@
     random,
     log,
   });
-  mesh.onChannels(join);
+  mesh.onChannels(attach);
   mesh.onReport(fleet.receive);
 
   return {
@@ -120,7 +120,7 @@
     fleet,
     registry,
     evidence,
-    attach: join,
+    attach: attach,
     updatePeers: () => mesh.follow(options.peers()),
     async stop() {
       mesh.stop();
--- a/src/relay/run.ts
+++ b/src/relay/run.ts
@@ -1,4 +1,4 @@
-/** The relay role: a subscriber to control and a home to nodes. */
+/** The relay role: a subscriber of control that serves as a home of nodes. */
 import {createAdmin} from '../admin/create-admin.js';
 import {createHome} from '../distribution/home.js';
 import {createSubscriber} from '../distribution/subscriber.js';
@@ -56,7 +56,7 @@
     notReady: () =>
       subscriber.current() === undefined ? ['no configuration in force'] : [],
   });
-  log.info('relay takes nodes', {address: settings.distributionAddress});
+  log.info('relay accepts nodes', {address: settings.distributionAddress});
 
   return {
     async stop() {
