--- a/src/link/address.test.ts
+++ b/src/link/address.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
 import {isAddress} from './address.js';
 
-test('an address is an IP number and a whole port in range', t => {
+test('an address is an IP address and an integer port within range', t => {
   for (const text of ['127.0.0.1:1', '10.0.0.9:65535', '[::1]:7000']) {
     t.true(isAddress(text), text);
   }
--- a/src/link/channel.ts
+++ b/src/link/channel.ts
@@ -1,6 +1,6 @@
 import type {Link} from './link.js';
 
-/** The planes that share one link between a node and its home. */
+/** The planes that share one link between a node and its home: separate protocols. */
 export type Plane = 'configuration' | 'endpoints' | 'fleet' | 'quarantine';
 
 interface Envelope {
@@ -8,10 +8,10 @@
   readonly body: unknown;
 }
 
-/** One plane's part of a link. */
+/** The part of a link that belongs to one plane. */
 export interface Channel {
   send(body: unknown): void;
-  /** Registers the one receiver of this plane's messages. */
+  /** Registers the only receiver of this plane's messages. */
   onMessage(receive: (body: unknown) => void): void;
 }
 
@@ -19,31 +19,31 @@
 export interface Channels {
   readonly link: Link;
   on(plane: Plane): Channel;
-  /** Registers one more observer of the link's end. */
+  /** Registers an additional observer of the link's end. */
   onClose(observe: () => void): void;
 }
 
-/** Shares a link between planes; messages wait until their plane has a receiver. */
+/** Multiplexes planes on a link; buffers messages until their plane has a receiver. */
 export function createChannels(link: Link): Channels {
   const receivers = new Map<Plane, (body: unknown) => void>();
-  const waiting = new Map<Plane, unknown[]>();
+  const buffers = new Map<Plane, unknown[]>();
   const observers: Array<() => void> = [];
-  let closed = false;
+  let isClosed = false;
 
-  function hold(envelope: Envelope): void {
-    const held = waiting.get(envelope.plane) ?? [];
-    held.push(envelope.body);
-    waiting.set(envelope.plane, held);
+  function buffer(envelope: Envelope): void {
+    const buffered = buffers.get(envelope.plane) ?? [];
+    buffered.push(envelope.body);
+    buffers.set(envelope.plane, buffered);
   }
 
   link.onMessage(message => {
     const envelope = message as Envelope;
     const receive = receivers.get(envelope.plane);
-    if (receive === undefined) hold(envelope);
+    if (receive === undefined) buffer(envelope);
     else receive(envelope.body);
   });
   link.onClose(() => {
-    closed = true;
+    isClosed = true;
     for (const observe of observers) observe();
   });
 
@@ -53,14 +53,14 @@
       send: body => link.send({plane, body}),
       onMessage(receive) {
         receivers.set(plane, receive);
-        const held = waiting.get(plane) ?? [];
-        waiting.delete(plane);
-        for (const body of held) receive(body);
+        const buffered = buffers.get(plane) ?? [];
+        buffers.delete(plane);
+        for (const body of buffered) receive(body);
       },
     }),
     onClose(observe) {
       observers.push(observe);
-      if (closed) observe();
+      if (isClosed) observe();
     },
   };
 }
--- a/src/link/codec.ts
+++ b/src/link/codec.ts
@@ -1,13 +1,13 @@
-/** How messages become the payloads of frames. */
+/** Encoding of messages as payloads of frames. */
 import {Packr} from 'msgpackr';
 
-/** Turns messages into payloads and back. */
+/** Encodes messages as payloads and decodes them. */
 export interface Codec {
   encode(message: unknown): Buffer;
   decode(payload: Buffer): unknown;
 }
 
-/** Creates a codec that writes the keys of each message. */
+/** Creates a codec that sends the keys with each message. */
 export function createPlainCodec(): Codec {
   const packr = new Packr({useRecords: false});
   return {
@@ -17,11 +17,11 @@
 }
 
 /**
- * Creates the codec of one link on which the keys of a message's shape travel
- * once. A link is ordered and never loses a message, so each end can refer to
- * the shapes that it sent before; a new link begins with none. Each link makes
- * readers of its own for the shapes that come by it, so this is for links that
- * are few.
+ * Creates the codec of one link on which the keys of each message shape are sent
+ * only once. Since a link is ordered and never loses a message, each end can refer
+ * to the shapes that it sent before; a new link starts without any. Each link
+ * generates its own readers for the received shapes, so this codec suits small
+ * numbers of links.
  */
 export function createKeySharingCodec(): Codec {
   const encoder = createSequentialPackr();
--- a/src/link/fakes/fake-network.ts
+++ b/src/link/fakes/fake-network.ts
@@ -4,27 +4,27 @@
 import type {Address, Listener} from '../link.js';
 import {defaultConnectTimeout} from '../tcp-network.js';
 
-/** What the fake network does with one message. */
+/** What the fake network does with one message; `double` delivers it twice. */
 export type DeliveryOutcome = 'deliver' | 'drop' | 'double' | 'hold';
 
-/** A network in memory whose delays, cuts and fates the test sets. */
+/** An in-memory network; the test sets delays, partitions and delivery outcomes. */
 export interface FakeNetwork {
-  /** The view that the process `name` has of the network. */
+  /** Returns the network as seen by the process `name`. */
   from(name: string): Network;
-  /** Cuts messages that travel from `source` to `target`; one way only. */
+  /** Drops messages from `source` to `target`, in this direction only. */
   cut(source: string, target: string): void;
-  /** Lets messages travel again in both directions between all processes. */
+  /** Removes all cuts, so that messages pass between all processes. */
   heal(): void;
-  /** Messages of one process take `delay` milliseconds longer each way. */
+  /** Adds `delay` milliseconds to messages from and to one process. */
   slow(name: string, delay: number): void;
-  /** Closes every link of one process, as its death would. */
+  /** Closes all links of one process, as a crash would. */
   kill(name: string): void;
-  /** Decides each message's fate; the default delivers all. */
+  /** Sets the rule for the outcome of each message; by default all are delivered. */
   setDeliveryRule(
     rule: (source: string, target: string, message: unknown) => DeliveryOutcome,
   ): void;
-  /** Delivers what was held, in reverse order when `crossed`. */
-  release(crossed?: boolean): void;
+  /** Delivers the held messages, in reverse order if `reversed`. */
+  release(reversed?: boolean): void;
 }
 
 interface End {
@@ -48,13 +48,16 @@
   const slowed = new Map<string, number>();
   const ends = new Set<End>();
   let held: Array<() => void> = [];
-  let rule: (source: string, target: string, message: unknown) => DeliveryOutcome = () =>
-    'deliver';
+  let rule: (
+    source: string,
+    target: string,
+    message: unknown,
+  ) => DeliveryOutcome = () => 'deliver';
 
   const isCut = (source: string, target: string) =>
     cuts.has(`${source}>${target}`);
 
-  /** Milliseconds more that a message takes one way between two processes. */
+  /** Additional one-way delay between two processes, in milliseconds. */
   function extraOf(owner: string, other: string): number {
     return (slowed.get(owner) ?? 0) + (slowed.get(other) ?? 0);
   }
@@ -78,30 +81,31 @@
       return;
     }
     const bytes = packr.pack(message);
-    const fate = rule(end.owner, other.owner, message);
-    const arrive = () => {
+    const outcome = rule(end.owner, other.owner, message);
+    const deliverMessage = () => {
       if (!isCut(end.owner, other.owner)) deliver(other, bytes);
     };
-    if (fate === 'hold') held.push(arrive);
-    if (fate === 'deliver' || fate === 'double') timers.after(oneWay, arrive);
-    if (fate === 'double') timers.after(oneWay * 2, arrive);
+    if (outcome === 'hold') held.push(deliverMessage);
+    if (outcome === 'deliver' || outcome === 'double')
+      timers.after(oneWay, deliverMessage);
+    if (outcome === 'double') timers.after(oneWay * 2, deliverMessage);
   }
 
-  function end(end: End): void {
+  function closeEnd(end: End): void {
     if (!end.open) return;
     end.open = false;
     ends.delete(end);
     end.closed?.();
   }
 
-  /** Answers a send to an end that is gone. */
+  /** Closes the near end after a send to a far end that is closed. */
   function reset(near: End): void {
-    if (!isCut(near.other!.owner, near.owner)) end(near);
+    if (!isCut(near.other!.owner, near.owner)) closeEnd(near);
   }
 
   function createEnd(owner: string, peer: Address): End {
-    const made: End = {owner, backlog: [], open: true, link: undefined!};
-    made.link = new (class extends Link {
+    const created: End = {owner, backlog: [], open: true, link: undefined!};
+    created.link = new (class extends Link {
       readonly peer = peer;
       readonly pending = 0;
       bytesIn = 0;
@@ -109,30 +113,30 @@
 
       send(message: unknown): void {
         this.bytesOut += packr.pack(message).length;
-        send(made, message);
+        send(created, message);
       }
 
       onMessage(receive: (message: unknown) => void): void {
-        made.receive = receive;
-        for (const message of made.backlog.splice(0)) receive(message);
+        created.receive = receive;
+        for (const message of created.backlog.splice(0)) receive(message);
       }
 
       onClose(closed: () => void): void {
-        made.closed = closed;
-        if (!made.open) closed();
+        created.closed = closed;
+        if (!created.open) closed();
       }
 
       close(): void {
-        const other = made.other!;
-        end(made);
-        // A cut swallows the FIN too: the other end stays open until it sends.
-        timers.after(delayOf(made.owner, other.owner), () => {
-          if (!isCut(made.owner, other.owner)) end(other);
+        const other = created.other!;
+        closeEnd(created);
+        // A cut drops the FIN too: the other end stays open until it sends.
+        timers.after(delayOf(created.owner, other.owner), () => {
+          if (!isCut(created.owner, other.owner)) closeEnd(other);
         });
       }
     })();
-    ends.add(made);
-    return made;
+    ends.add(created);
+    return created;
   }
 
   function connect(owner: string, address: Address): Promise<Link> {
@@ -143,7 +147,7 @@
     return new Promise((resolve, reject) => {
       const refuse = () => reject(new Error(`no connection to ${address}`));
       if (isBlocked) {
-        // Nobody answers over a cut, so that only the caller's patience ends it.
+        // There is no answer over a cut, so the attempt ends by its timeout.
         timers.after(defaultConnectTimeout, refuse);
         return;
       }
@@ -189,19 +193,19 @@
       for (const [address, listener] of listeners) {
         if (listener.owner === name) listeners.delete(address);
       }
-      for (const one of [...ends]) {
-        if (one.owner !== name) continue;
-        const other = one.other!;
-        one.open = false;
-        ends.delete(one);
-        timers.after(delay, () => end(other));
+      for (const near of [...ends]) {
+        if (near.owner !== name) continue;
+        const other = near.other!;
+        near.open = false;
+        ends.delete(near);
+        timers.after(delay, () => closeEnd(other));
       }
     },
     setDeliveryRule: next => void (rule = next),
-    release(crossed = false) {
-      const waiting = crossed ? held.reverse() : held;
+    release(reversed = false) {
+      const messages = reversed ? held.reverse() : held;
       held = [];
-      for (const arrive of waiting) arrive();
+      for (const deliverMessage of messages) deliverMessage();
     },
   };
 }
--- a/src/link/forwarding-link.ts
+++ b/src/link/forwarding-link.ts
@@ -1,6 +1,6 @@
 import {Link} from './link.js';
 
-/** A link that passes everything on; a kind of it changes what it must. */
+/** A link that delegates to another link; subclasses override single methods. */
 export abstract class ForwardingLink extends Link {
   readonly peer: string;
 
--- a/src/link/frame.test.ts
+++ b/src/link/frame.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
 import {createFrameReader, encodeFrames} from './frame.js';
 
-test('frames come out whole however the bytes were cut', t => {
+test('frames are read completely for any split of the bytes', t => {
   const payloads = ['first', '', 'third'].map(text => Buffer.from(text));
   const bytes = encodeFrames(payloads);
   for (let size = 1; size <= bytes.length; size++) {
@@ -14,7 +14,7 @@
   }
 });
 
-test('a frame over the limit is refused before its bytes are held', t => {
+test('a frame over the limit is refused before its bytes are buffered', t => {
   const reader = createFrameReader(10, () => t.fail());
   t.throws(() => reader.push(encodeFrames([Buffer.alloc(11)])));
 });
--- a/src/link/frame.ts
+++ b/src/link/frame.ts
@@ -1,7 +1,7 @@
-/** Bytes before each payload. */
+/** Size of the header before each payload, in bytes. */
 export const headerBytes = 4;
 
-/** Puts payloads one behind the other, each after its length, 32 bits big-endian. */
+/** Concatenates payloads, each preceded by its length as 32 bits in big-endian order. */
 export function encodeFrames(payloads: readonly Buffer[]): Buffer {
   let size = 0;
   for (const {length} of payloads) size += headerBytes + length;
@@ -15,46 +15,47 @@
   return frames;
 }
 
-/** Cuts a byte stream into frames. */
+/** Splits a byte stream into frames. */
 export interface FrameReader {
-  /** Takes bytes as they come; throws when a frame is over the limit. */
+  /** Processes received bytes; throws if a frame exceeds the limit. */
   push(chunk: Buffer): void;
 }
 
-/** Creates a reader that hands each whole payload to `receive`. */
+/** Creates a reader that passes each complete payload to `receive`. */
 export function createFrameReader(
   limit: number,
   receive: (payload: Buffer) => void,
 ): FrameReader {
   let chunks: Buffer[] = [];
-  let held = 0;
-  let wanted = headerBytes;
+  let buffered = 0;
+  let required = headerBytes;
 
-  function take(): Buffer {
+  function joinChunks(): Buffer {
     const joined = chunks.length === 1 ? chunks[0]! : Buffer.concat(chunks);
     chunks = [joined];
     return joined;
   }
 
-  function drop(count: number): void {
+  function discard(count: number): void {
     const rest = chunks[0]!.subarray(count);
     chunks = rest.length > 0 ? [rest] : [];
-    held = rest.length;
+    buffered = rest.length;
   }
 
   return {
     push(chunk) {
       chunks.push(chunk);
-      held += chunk.length;
-      while (held >= wanted) {
-        const joined = take();
+      buffered += chunk.length;
+      while (buffered >= required) {
+        const joined = joinChunks();
         const length = joined.readUInt32BE(0);
-        if (length > limit) throw new Error(`frame of ${length} bytes`);
-        wanted = headerBytes + length;
-        if (held < wanted) return;
-        const payload = joined.subarray(headerBytes, wanted);
-        drop(wanted);
-        wanted = headerBytes;
+        if (length > limit)
+          throw new Error(`frame of ${length} bytes exceeds the limit`);
+        required = headerBytes + length;
+        if (buffered < required) return;
+        const payload = joined.subarray(headerBytes, required);
+        discard(required);
+        required = headerBytes;
         receive(payload);
       }
     },
--- a/src/link/http-server.ts
+++ b/src/link/http-server.ts
@@ -1,4 +1,4 @@
-/** What the small HTTP listeners of a process share: opening, closing, bodies. */
+/** Shared functions of the small HTTP listeners of a process. */
 import type {IncomingMessage, Server, ServerResponse} from 'node:http';
 import type {AddressInfo} from 'node:net';
 import type {Log} from '../log/log.js';
@@ -7,7 +7,7 @@
 import {parseAddress} from './address.js';
 import type {Address, Listener} from './link.js';
 
-/** Opens a server; rejects when the port is taken. */
+/** Opens a server; rejects if the port is in use. */
 export function openServer(
   server: Server,
   address: Address,
@@ -27,21 +27,24 @@
 }
 
 /**
- * Milliseconds in which calls under way are answered when a listener closes.
- * A peer whose connection has gone silent would hold up the stop of the whole
- * process: one that sent nothing yet, or half a request, counts as busy.
+ * Milliseconds that requests in progress have to be answered when a listener
+ * closes. Without a limit, an idle connection could delay the stop of the whole
+ * process: a connection on which nothing or half a request was sent counts as
+ * busy.
  */
-const closeTime = 250;
+const closeTimeout = 250;
 
-/** Closes a server; resolves when the last call is answered or was cut. */
+/** Closes a server; resolves when the last request is answered or aborted. */
 export function closeServer(
   server: Server,
   timers: Timers = createTimers(),
 ): Promise<void> {
   return new Promise(resolve => {
-    const cut = timers.after(closeTime, () => server.closeAllConnections());
+    const forcedClose = timers.after(closeTimeout, () =>
+      server.closeAllConnections(),
+    );
     server.close(() => {
-      cut.cancel();
+      forcedClose.cancel();
       resolve();
     });
     server.closeIdleConnections();
@@ -59,7 +62,7 @@
   response.end(JSON.stringify(body));
 }
 
-/** Reads a request's body as text; undefined when it is over `limit` bytes. */
+/** Reads a request's body as text; undefined if it exceeds `limit` bytes. */
 export async function readText(
   incoming: AsyncIterable<Buffer> | IncomingMessage,
   limit: number,
@@ -68,16 +71,16 @@
   let length = 0;
   for await (const chunk of incoming as AsyncIterable<Buffer>) {
     length += chunk.length;
-    // What is over the limit is read to its end, so that the answer arrives.
+    // The rest of an oversized body is read too, so that the response arrives.
     if (length <= limit) chunks.push(chunk);
   }
   return length > limit ? undefined : Buffer.concat(chunks).toString('utf8');
 }
 
 /**
- * Makes a listener's handler of one that may fail. A caller that breaks off in
- * the middle of its body makes the reading of it fail; taken by nobody, that
- * error would end the process.
+ * Wraps an asynchronous handler, so that an error is logged and destroys the
+ * response. Reading a body fails if the client disconnects in the middle of it;
+ * an unhandled error would end the process.
  */
 export function destroyOnError<Incoming, Answering>(
   log: Log,
@@ -85,7 +88,7 @@
 ): (incoming: Incoming, response: Answering) => void {
   return (incoming, response) => {
     handle(incoming, response).catch((error: Error) => {
-      log.warn('call not answered', {reason: error.message});
+      log.warn('request not answered', {reason: error.message});
       (response as ServerResponse).destroy();
     });
   };
--- a/src/link/socket-link.test.ts
+++ b/src/link/socket-link.test.ts
@@ -8,8 +8,8 @@
 
 const codec = createPlainCodec();
 
-/** A link on a socket that counts its writes and reads their messages. */
-function stage() {
+/** Creates a link on a fake socket that counts writes and decodes their messages. */
+function setUp() {
   const messages: unknown[] = [];
   let writes = 0;
   const reader = createFrameReader(1024, frame =>
@@ -32,9 +32,10 @@
   return {link, socket, messages, writes: () => writes};
 }
 
-// Each frame of an answer cost a write of its own to the system.
-test('messages of one turn leave in order and in one write', async t => {
-  const {link, messages, writes} = stage();
+// With a separate write for each frame, each frame of a response costs a system
+// call.
+test('messages of one turn of the event loop are sent in order in one write', async t => {
+  const {link, messages, writes} = setUp();
   for (const message of ['head', 'data', 'end']) link.send(message);
   t.is(writes(), 0);
   await nextTurn();
@@ -45,8 +46,8 @@
   t.is(writes(), 2);
 });
 
-test('what waits for the end of the turn is pending', async t => {
-  const {link} = stage();
+test('messages that wait for the end of the turn are pending', async t => {
+  const {link} = setUp();
   link.send('head');
   t.true(link.pending > 0);
   t.is(link.bytesOut, link.pending);
@@ -54,8 +55,8 @@
   t.is(link.pending, 0);
 });
 
-test('a close lets out what was sent before it', async t => {
-  const {link, socket, messages} = stage();
+test('a close sends the messages that were sent before it', async t => {
+  const {link, socket, messages} = setUp();
   link.send('refused');
   link.close();
   await nextTurn();
@@ -63,8 +64,8 @@
   t.true(socket.writableEnded);
 });
 
-test('a link that was broken off sends nothing more', async t => {
-  const {link, messages} = stage();
+test('an aborted link sends no more messages', async t => {
+  const {link, messages} = setUp();
   link.send('late');
   link.destroy();
   await nextTurn();
--- a/src/link/socket-link.ts
+++ b/src/link/socket-link.ts
@@ -1,4 +1,4 @@
-/** A message link over an open socket, in frames. */
+/** A message link over an open socket; each message is sent as a frame. */
 import type {Socket} from 'node:net';
 import type {Codec} from './codec.js';
 import {createFrameReader, encodeFrames, headerBytes} from './frame.js';
@@ -6,21 +6,21 @@
 
 /** Options of `createSocketLink`. */
 export interface SocketLinkOptions {
-  /** Largest message in bytes; a larger one closes the link. */
+  /** Maximum size of a message in bytes; a larger one closes the link. */
   readonly messageLimit: number;
-  /** How messages become payloads; both ends must agree. */
+  /** Encodes messages; both ends must use the same codec. */
   readonly codec: Codec;
-  /** Hears of a message that can't be read or handled; its link is closed. */
+  /** Called if a message can't be decoded or handled; the link is closed. */
   readonly onFault?: (error: Error) => void;
 }
 
-/** A link that can also be broken off. */
+/** A link that can also be aborted. */
 export abstract class SocketLink extends Link {
-  /** Closes at once; what was not yet sent is lost. */
+  /** Closes at once; messages that were not yet sent are lost. */
   abstract destroy(): void;
 }
 
-/** Creates the link; the socket is its own from then on. */
+/** Creates the link, which takes ownership of the socket. */
 export function createSocketLink(
   socket: Socket,
   options: SocketLinkOptions,
@@ -28,17 +28,18 @@
   return new OpenLink(socket, options);
 }
 
-// One class for all links: a call on any of them then finds the same shape.
+// A single class for all links gives them the same object shape, so that calls on
+// them stay monomorphic.
 class OpenLink extends SocketLink {
   readonly peer: string;
-  /** Messages that came before there was a receiver. */
+  /** Messages received before a receiver was registered. */
   private readonly backlog: unknown[] = [];
   private receive: ((message: unknown) => void) | undefined;
-  private closed: (() => void) | undefined;
-  private isOver = false;
-  /** What was sent in this turn of the loop, and its bytes as frames. */
+  private onClosed: (() => void) | undefined;
+  private isClosed = false;
+  /** Payloads sent in this turn of the event loop, and their size as frames. */
   private payloads: Buffer[] = [];
-  private gathered = 0;
+  private unflushedBytes = 0;
 
   constructor(
     private readonly socket: Socket,
@@ -47,7 +48,7 @@
     super();
     this.peer = `${socket.remoteAddress}:${socket.remotePort}`;
     const reader = createFrameReader(options.messageLimit, frame =>
-      this.take(options.codec.decode(frame)),
+      this.deliver(options.codec.decode(frame)),
     );
     socket.setNoDelay(true);
     socket.setKeepAlive(true, 10_000);
@@ -61,13 +62,13 @@
     });
     socket.on('error', () => socket.destroy());
     socket.on('close', () => {
-      this.isOver = true;
-      this.closed?.();
+      this.isClosed = true;
+      this.onClosed?.();
     });
   }
 
   get pending(): number {
-    return this.socket.writableLength + this.gathered;
+    return this.socket.writableLength + this.unflushedBytes;
   }
 
   get bytesIn(): number {
@@ -75,15 +76,15 @@
   }
 
   get bytesOut(): number {
-    return this.socket.bytesWritten + this.gathered;
+    return this.socket.bytesWritten + this.unflushedBytes;
   }
 
   send(message: unknown): void {
-    if (this.isOver || this.socket.destroyed) return;
+    if (this.isClosed || this.socket.destroyed) return;
     const payload = this.options.codec.encode(message);
     if (this.payloads.length === 0) setImmediate(() => this.flush());
     this.payloads.push(payload);
-    this.gathered += headerBytes + payload.length;
+    this.unflushedBytes += headerBytes + payload.length;
   }
 
   onMessage(receiver: (message: unknown) => void): void {
@@ -92,8 +93,8 @@
   }
 
   onClose(observer: () => void): void {
-    this.closed = observer;
-    if (this.isOver) observer();
+    this.onClosed = observer;
+    if (this.isClosed) observer();
   }
 
   close(): void {
@@ -105,17 +106,17 @@
     this.socket.destroy();
   }
 
-  private take(message: unknown): void {
+  private deliver(message: unknown): void {
     if (this.receive === undefined) this.backlog.push(message);
     else this.receive(message);
   }
 
-  /** What is sent in one turn of the loop leaves in one write. */
+  /** Writes all messages of one turn of the event loop in a single write. */
   private flush(): void {
     if (this.payloads.length === 0) return;
     const frames = encodeFrames(this.payloads);
     this.payloads = [];
-    this.gathered = 0;
+    this.unflushedBytes = 0;
     if (!this.socket.destroyed) this.socket.write(frames);
   }
 }
--- a/src/link/tcp-network.test.ts
+++ b/src/link/tcp-network.test.ts
@@ -20,7 +20,7 @@
   return {link, received, arrived, close};
 }
 
-test('messages of ever new shapes come out as they went in', async t => {
+test('messages with new shapes are received unchanged', async t => {
   const {link, received, arrived, close} = await openPair(true);
   const messages: unknown[] = [];
   for (let index = 0; index < 300; index++) {
@@ -34,7 +34,7 @@
   await close();
 });
 
-test('keys that travelled once are not sent again', async t => {
+test('keys of a known message shape are not sent again', async t => {
   const bytes: number[] = [];
   for (const sharesKeys of [false, true]) {
     const {link, arrived, close} = await openPair(sharesKeys);
@@ -49,7 +49,7 @@
   t.true(bytes[1]! < bytes[0]! / 2, `${bytes}`);
 });
 
-test('a message that can’t be handled ends its link, and its owner hears why', async t => {
+test('a message that can’t be handled closes its link and reports the error', async t => {
   const faults: string[] = [];
   const network = createTcpNetwork({
     onFault: error => void faults.push(error.message),
--- a/src/link/tcp-network.ts
+++ b/src/link/tcp-network.ts
@@ -6,22 +6,22 @@
 import {createKeySharingCodec, createPlainCodec} from './codec.js';
 import {createSocketLink} from './socket-link.js';
 
-/** Settings of the TCP network, with defaults. */
+/** Options of `createTcpNetwork`. */
 export interface TcpNetworkOptions {
-  /** Milliseconds to wait for a connection; default 2000. */
+  /** Timeout of a connection attempt in milliseconds; default 2000. */
   readonly connectTimeout?: number;
-  /** Largest message in bytes; a larger one closes the link. Default 64 MiB. */
+  /** Maximum message size in bytes; a larger one closes the link. Default 64 MiB. */
   readonly messageLimit?: number;
   /**
-   * Whether the keys of a message's shape travel once on each link and are
-   * then referred to by number; both ends must agree. Default true.
+   * Whether the keys of a message shape are sent once on each link and are then
+   * referred to by number; both ends must use the same value. Default true.
    */
   readonly sharesKeys?: boolean;
-  /** Hears why a link was ended over a message that can't be read or handled. */
+  /** Called if a link is closed because a message can't be decoded or handled. */
   readonly onFault?: (error: Error) => void;
 }
 
-/** Milliseconds that a connection may take to open. */
+/** Default timeout of a connection attempt in milliseconds. */
 export const defaultConnectTimeout = 2000;
 const defaultMessageLimit = 64 * 1024 * 1024;
 
--- a/src/log/fakes/recorded-log.ts
+++ b/src/log/fakes/recorded-log.ts
@@ -1,6 +1,6 @@
 import type {Fields, Level, Log, WriteLine} from '../log.js';
 
-/** A line as it was logged. */
+/** A logged line. */
 export interface RecordedLine {
   readonly level: Level;
   readonly scope?: string;
@@ -8,7 +8,7 @@
   readonly fields: Fields;
 }
 
-/** A log whose lines a test reads. */
+/** A log that records its lines for a test. */
 export interface RecordedLog {
   readonly log: Log;
   readonly lines: RecordedLine[];
@@ -16,7 +16,7 @@
   messages(): string[];
 }
 
-/** Creates a log that keeps every line. */
+/** Creates a log that records every line. */
 export function createRecordedLog(): RecordedLog {
   const lines: RecordedLine[] = [];
 
--- a/src/log/line-budget.test.ts
+++ b/src/log/line-budget.test.ts
@@ -3,7 +3,7 @@
 import {createLineBudget} from './line-budget.js';
 import {createRecordedLog} from './fakes/recorded-log.js';
 
-test('lines beyond the rate are left out, whole stories at a time', t => {
+test('lines beyond the rate are omitted, in groups that belong together', t => {
   const timers = createFakeTimers();
   const {log} = createRecordedLog();
   const budget = createLineBudget({rate: 10, burst: 4, timers, log});
@@ -18,7 +18,7 @@
   t.false(budget.take(1));
 });
 
-test('what was left out is told once a second, as a count', t => {
+test('the number of omitted lines is logged once a second', t => {
   const timers = createFakeTimers();
   const {log, lines} = createRecordedLog();
   const budget = createLineBudget({rate: 1, burst: 1, timers, log});
--- a/src/log/line-budget.ts
+++ b/src/log/line-budget.ts
@@ -1,61 +1,62 @@
 /**
- * How many lines of one kind a process may write. Under overload each refused
- * request is worth a line, and all of them together would cost the processor
- * time that the next requests need; what is left out is counted and told.
+ * Rate limit for log lines of one kind. Under overload a process would log a line
+ * for each refused request, and all these lines would cost the processor time that
+ * further requests need. Lines beyond the limit are omitted, and their number is
+ * logged.
  */
 import type {Timers} from '../time/timers.js';
 import type {Log} from './log.js';
 
 /** Options of `createLineBudget`. */
 export interface LineBudgetOptions {
-  /** Lines a second in the long run. */
+  /** Average number of lines per second. */
   readonly rate: number;
-  /** Lines that may come at once. */
+  /** Maximum number of lines at once. */
   readonly burst: number;
   readonly timers: Timers;
-  /** Hears how much was left out. */
+  /** Receives the number of omitted lines. */
   readonly log: Log;
 }
 
-/** A store of lines that fills with time. */
+/** A token bucket for log lines. */
 export interface LineBudget {
-  /** Takes room for `lines` about one thing; false when they are left out. */
+  /** Takes tokens for `lines` that belong together; false if they must be omitted. */
   take(lines: number): boolean;
 }
 
 const millisecondsPerSecond = 1000;
 
-/** Milliseconds for which left-out lines are counted before they are told. */
-const countingTime = 1000;
+/** Milliseconds for which omitted lines are counted before their number is logged. */
+const reportDelay = 1000;
 
-/** Creates a budget that is full. */
+/** Creates a full budget. */
 export function createLineBudget(options: LineBudgetOptions): LineBudget {
   const {rate, burst, timers, log} = options;
-  let saved = burst;
-  let filledAt = timers.now();
-  let leftOut = 0;
+  let tokens = burst;
+  let refilledAt = timers.now();
+  let omitted = 0;
 
-  function fill(): void {
+  function refill(): void {
     const now = timers.now();
-    const earned = ((now - filledAt) / millisecondsPerSecond) * rate;
-    saved = Math.min(burst, saved + earned);
-    filledAt = now;
+    const added = ((now - refilledAt) / millisecondsPerSecond) * rate;
+    tokens = Math.min(burst, tokens + added);
+    refilledAt = now;
   }
 
-  function tell(): void {
-    log.warn('log lines left out', {reason: 'rate', count: leftOut});
-    leftOut = 0;
+  function reportOmitted(): void {
+    log.warn('log lines left out', {reason: 'rate', count: omitted});
+    omitted = 0;
   }
 
   return {
     take: lines => {
-      fill();
-      if (saved >= lines) {
-        saved -= lines;
+      refill();
+      if (tokens >= lines) {
+        tokens -= lines;
         return true;
       }
-      if (leftOut === 0) timers.after(countingTime, tell);
-      leftOut += lines;
+      if (omitted === 0) timers.after(reportDelay, reportOmitted);
+      omitted += lines;
       return false;
     },
   };
--- a/src/log/line-sink.test.ts
+++ b/src/log/line-sink.test.ts
@@ -15,7 +15,7 @@
   return folder;
 }
 
-/** A named pipe that holds 64 KB for a reader who does not read. */
+/** Opens a named pipe, which buffers 64 KB, without a process that reads it. */
 function openUnreadPipe(t: ExecutionContext): number {
   const path = join(folderOf(t), 'pipe');
   execFileSync('mkfifo', [path]);
@@ -24,7 +24,7 @@
   return descriptor;
 }
 
-test('lines arrive whole and in their order', async t => {
+test('lines are written completely and in order', async t => {
   const path = join(folderOf(t), 'lines');
   const descriptor = openSync(path, 'w');
   const sink = createLineSink({descriptor, timers: createTimers()});
@@ -47,10 +47,10 @@
   closeSync(descriptor);
 });
 
-test('a reader that stopped costs lines, which are counted, and no time', async t => {
-  // Whoever collects the lines hangs. The pipe fills up; a write to it would
-  // block the one thread that serves requests, so all callers would wait for
-  // the reader of the log.
+test('if the reader stops, lines are dropped and counted, and writes do not block', async t => {
+  // The process that collects the log hangs, and the pipe fills up. A blocking
+  // write would stop the only thread that serves requests, so all callers would
+  // wait for the reader of the log.
   const descriptor = openUnreadPipe(t);
   const sink = createLineSink({
     descriptor,
@@ -62,11 +62,11 @@
   await sink.drain(50);
   for (let count = 0; count < 300; count++) sink.write(line);
   const dropped = sink.takeDropped();
-  t.true(dropped >= 500, `${dropped} of 600 lines were left out`);
+  t.true(dropped >= 500, `${dropped} of 600 lines were dropped`);
   t.is(sink.takeDropped(), 0);
 });
 
-test('the next line tells how many were left out', t => {
+test('the next line reports how many lines were dropped', t => {
   const written: string[] = [];
   let dropped = 7;
   const log = createLog('node-1', 'info', {
--- a/src/log/line-sink.ts
+++ b/src/log/line-sink.ts
@@ -1,82 +1,82 @@
 /**
- * Where log lines leave the process. A reader of standard output that stops
- * must not stop the process: a pipe takes 64 KB and then blocks whoever writes.
- * Lines are therefore written from a bounded buffer, by a thread of the
- * library, and what finds no room is left out and counted.
+ * Writes log lines. A reader of standard output that hangs must not block the
+ * process: a pipe buffers 64 KB and then blocks the writer. Lines are therefore
+ * written from a bounded buffer by a thread of the library. Lines that don't fit
+ * into the buffer are dropped and counted.
  */
 import sonicBoom from 'sonic-boom';
 import type {Timers} from '../time/timers.js';
 
 /** Options of `createLineSink`. */
 export interface LineSinkOptions {
-  /** The file descriptor that is written to. */
+  /** The file descriptor to which lines are written. */
   readonly descriptor: number;
-  /** Bytes that wait for the reader, at most; 256 KiB unless given. */
+  /** Maximum size of the buffer in bytes; default 256 KiB. */
   readonly capacity?: number;
   readonly timers: Timers;
 }
 
-/** Takes lines and never waits for their reader. */
+/** Accepts lines without blocking on their reader. */
 export interface LineSink {
   write(line: string): void;
-  /** Lines left out since the last call of this. */
+  /** Returns the number of lines dropped since the last call. */
   takeDropped(): number;
-  /** Resolves when all is written, or after `limit` milliseconds. */
+  /** Resolves when all lines are written, or after `limit` milliseconds. */
   drain(limit: number): Promise<void>;
 }
 
-/** A few seconds of lines at the rate that a node writes at most. */
+/** Bytes; holds a few seconds of lines at the maximum rate of a node. */
 const defaultCapacity = 256 * 1024;
 
-/** Bytes that are gathered before they are written; saves calls of the system. */
-const gather = 4 * 1024;
+/** Bytes that are collected for one write; reduces the number of system calls. */
+const minWriteSize = 4 * 1024;
 
-/** Milliseconds that a line waits for others at most. */
-const delay = 200;
+/** Maximum number of milliseconds for which a line waits for further ones. */
+const flushDelay = 200;
 
 /** Creates a sink. */
 export function createLineSink(options: LineSinkOptions): LineSink {
   const {timers} = options;
   let dropped = 0;
-  let held = 0;
-  let isFlushPlanned = false;
-  let drained = () => {};
+  let buffered = 0;
+  let isFlushScheduled = false;
+  let onDrained = () => {};
 
   const output = new sonicBoom.SonicBoom({
     fd: options.descriptor,
     sync: false,
-    minLength: gather,
+    minLength: minWriteSize,
     maxLength: options.capacity ?? defaultCapacity,
   });
   output.on('drop', () => {
     dropped++;
   });
   output.on('write', (bytes: number) => {
-    held -= bytes;
-    if (held <= 0) drained();
+    buffered -= bytes;
+    if (buffered <= 0) onDrained();
   });
-  // The reader has gone. There is nowhere left to tell it: what is written
-  // from now on fills the buffer and is counted.
-  output.on('error', () => drained());
+  // The reader has closed the pipe, and the error can't be logged anywhere. Further
+  // lines fill the buffer and are then counted as dropped.
+  output.on('error', () => onDrained());
 
   function flush(): void {
-    isFlushPlanned = false;
-    if (held > 0) output.flush();
+    isFlushScheduled = false;
+    if (buffered > 0) output.flush();
   }
 
-  function planFlush(): void {
-    if (isFlushPlanned) return;
-    isFlushPlanned = true;
-    timers.after(delay, flush);
+  function scheduleFlush(): void {
+    if (isFlushScheduled) return;
+    isFlushScheduled = true;
+    timers.after(flushDelay, flush);
   }
 
   return {
     write: line => {
-      const before = dropped;
+      const droppedBefore = dropped;
       output.write(line);
-      if (dropped > before) return;
-      held += Buffer.byteLength(line);
-      planFlush();
+      if (dropped > droppedBefore) return;
+      buffered += Buffer.byteLength(line);
+      scheduleFlush();
     },
     takeDropped: () => {
       const count = dropped;
@@ -85,10 +85,10 @@
     },
     drain: limit =>
       new Promise(resolve => {
-        if (held <= 0) return resolve();
-        const late = timers.after(limit, resolve);
-        drained = () => {
-          late.cancel();
+        if (buffered <= 0) return resolve();
+        const timeout = timers.after(limit, resolve);
+        onDrained = () => {
+          timeout.cancel();
           resolve();
         };
         output.flush();
--- a/src/log/log.ts
+++ b/src/log/log.ts
@@ -3,7 +3,7 @@
 import type {LineSink} from './line-sink.js';
 import {standardOutput} from './standard-output.js';
 
-/** How much is logged. */
+/** The level of a log line, or the minimum level that is logged. */
 export type Level = 'error' | 'warn' | 'info' | 'debug';
 
 const consolaLevels: Record<Level, number> = {
@@ -13,14 +13,14 @@
   debug: 4,
 };
 
-/** Facts of one log line, besides its message. */
+/** Structured fields of one log line, besides its message. */
 export interface Fields {
   readonly [key: string]: string | number | boolean | null | undefined;
 }
 
 /**
- * Writes one line; `at` is its time in milliseconds since the epoch, now
- * unless given.
+ * Writes one line; `at` is its time in milliseconds since the Unix epoch, by
+ * default the current time.
  */
 export type WriteLine = (message: string, fields?: Fields, at?: number) => void;
 
@@ -30,11 +30,11 @@
   readonly warn: WriteLine;
   readonly info: WriteLine;
   readonly debug: WriteLine;
-  /** A log whose lines carry the name of one slice. */
+  /** Returns a log whose lines carry the name of a component. */
   scope(name: string): Log;
 }
 
-/** Creates the log of a process. `process` names it in each line. */
+/** Creates the log of a process; each line carries its name `process`. */
 export function createLog(
   process: string,
   level: Level = 'info',
@@ -42,14 +42,14 @@
 ): Log {
   const consola = createConsola({
     level: consolaLevels[level],
-    // Repeated lines are facts too; the library would leave them out.
+    // Repeated lines must be logged too; by default the library omits them.
     throttle: 0,
     reporters: [{log: entry => writeLine(sink, process, entry)}],
   });
   return wrap(consola);
 }
 
-/** A log that drops every line. */
+/** Creates a log that discards every line. */
 export function createSilentLog(): Log {
   const drop = () => {};
   const log: Log = {
@@ -81,8 +81,10 @@
 function writeLine(sink: LineSink, process: string, entry: LogObject): void {
   const dropped = sink.takeDropped();
   if (dropped > 0) {
-    const left = {message: 'log lines left out', reason: 'slow reader'};
-    sink.write(format(entry.date, 'warn', process, {...left, count: dropped}));
+    const notice = {message: 'log lines left out', reason: 'slow reader'};
+    sink.write(
+      format(entry.date, 'warn', process, {...notice, count: dropped}),
+    );
   }
   const [message, fields] = entry.args as [string, Fields];
   const scope = entry.tag || undefined;
--- a/src/log/standard-output.ts
+++ b/src/log/standard-output.ts
@@ -6,7 +6,7 @@
 
 let sink: LineSink | undefined;
 
-/** The sink of this process's standard output; one, so that lines stay whole. */
+/** The sink of standard output; there is only one, so that lines don't interleave. */
 export function standardOutput(): LineSink {
   sink ??= createLineSink({
     descriptor: standardOutputDescriptor,
--- a/src/metrics/metered-network.test.ts
+++ b/src/metrics/metered-network.test.ts
@@ -10,7 +10,7 @@
 import {createMeteredNetwork} from './metered-network.js';
 import {createNoMetrics} from './metrics.js';
 
-test('bytes are counted each second and once more when a link ends', async t => {
+test('bytes are counted every second and once more when a link ends', async t => {
   const timers = createFakeTimers();
   const network = createFakeNetwork(timers);
   const total = {received: 0, sent: 0};
@@ -27,9 +27,9 @@
     timers,
   );
   let ends = 0;
-  const got: unknown[] = [];
+  const messages: unknown[] = [];
   await network.from('far').listen('far', (link: Link) => {
-    link.onMessage(message => got.push(message));
+    link.onMessage(message => messages.push(message));
   });
   const opening = near.connect('far');
   await timers.advanceAsync(10);
@@ -45,17 +45,18 @@
   link.send('second');
   await timers.advanceAsync(10);
   link.close();
-  t.is(total.sent, link.bytesOut, 'the last bytes are not lost');
+  t.is(total.sent, link.bytesOut, 'the last bytes are counted');
   t.is(ends, 1);
   await timers.advanceAsync(5000);
   t.is(total.sent, link.bytesOut, 'a closed link is not counted again');
-  t.deepEqual(got, ['first', 'second']);
+  t.deepEqual(messages, ['first', 'second']);
 });
 
 test('a link that ends with bytes unsent does not end the process', async t => {
-  // The other VM is cut off: it takes nothing more, and the link is given up.
-  // The system then counts only what it has sent, less than was counted before.
-  // A counter that is asked to go back throws, in the middle of an event.
+  // The other VM is partitioned and reads no more data, and the link is destroyed.
+  // The socket then reports only the bytes that it has sent, which are fewer than
+  // were counted before. A counter throws when it is decremented, and an error in an
+  // event handler would end the process.
   const timers = createFakeTimers();
   const registry = new Registry();
   const server = createServer(socket => {
--- a/src/metrics/metered-network.ts
+++ b/src/metrics/metered-network.ts
@@ -4,10 +4,10 @@
 import type {Timers} from '../time/timers.js';
 import type {Metrics, LinkKind} from './metrics.js';
 
-/** Milliseconds between two counts of the open links' bytes. */
-const countEvery = 1000;
+/** Milliseconds between two counts of the bytes of open links. */
+const countPeriod = 1000;
 
-/** A network whose links' bytes are counted as `traffic`. */
+/** Wraps a network and counts the bytes of its links for the link kind `traffic`. */
 export function createMeteredNetwork(
   network: Network,
   traffic: LinkKind,
@@ -16,7 +16,7 @@
 ): Network {
   const meters = new Set<Meter>();
 
-  timers.every(countEvery, () => {
+  timers.every(countPeriod, () => {
     for (const meter of meters) meter.count();
   });
 
@@ -41,7 +41,7 @@
 }
 
 interface Meter {
-  /** Reports what came and went since the last count. */
+  /** Reports the bytes received and sent since the last count. */
   count(): void;
 }
 
@@ -50,8 +50,8 @@
   let sent = 0;
   return {
     count() {
-      // A link that has ended takes back what it could not send any more, and
-      // a counter that is asked to go back throws.
+      // A closed link no longer includes the bytes that it could not send, and a
+      // counter throws when it is decremented.
       const bytesIn = Math.max(received, link.bytesIn);
       const bytesOut = Math.max(sent, link.bytesOut);
       metrics.traffic(traffic, bytesIn - received, bytesOut - sent);
@@ -61,7 +61,10 @@
   };
 }
 
-/** A link has one observer of its end; this one also tells `ended`. */
+/**
+ * Wraps a link, so that its end is also reported to `ended`; a link supports only
+ * one observer.
+ */
 function wrapLink(link: Link, ended: () => void): Link {
   let isClosed = false;
   let closed: (() => void) | undefined;
--- a/src/random/random.ts
+++ b/src/random/random.ts
@@ -2,17 +2,17 @@
 import {uniformInt} from 'pure-rand/distribution/uniformInt';
 import {xoroshiro128plus} from 'pure-rand/generator/xoroshiro128plus';
 
-/** Seeded randomness: the same seed gives the same choices. */
+/** A seeded random number generator: the same seed yields the same sequence. */
 export interface Random {
-  /** A number of at least 0 and less than 1. */
+  /** Returns a number of at least 0 and less than 1. */
   fraction(): number;
-  /** A whole number of at least 0 and less than `limit`. */
+  /** Returns an integer of at least 0 and less than `limit`. */
   integer(limit: number): number;
-  /** One of `items`; they must not be empty. */
+  /** Returns one of `items`, which must not be empty. */
   pick<T>(items: readonly T[]): T;
 }
 
-/** Creates randomness from a whole-number seed. */
+/** Creates a random number generator from an integer seed. */
 export function createRandom(seed: number): Random {
   const generator = xoroshiro128plus(seed);
   const fraction = () => uniformFloat64(generator);
--- a/src/result/code.ts
+++ b/src/result/code.ts
@@ -1,13 +1,13 @@
 /**
- * Numbered result codes. Each slice defines its own in its `codes.ts`, inside
- * the range given in `table.ts`; a number is never reused for another meaning.
+ * Numbered result codes. Each component defines its codes in its `codes.ts`, within
+ * the range given in `table.ts`. A number is never reused for another meaning.
  */
 
 /**
- * What is known of the work that a result speaks of.
- * - `done`: it ran, once, and the answer is whole.
- * - `not-run`: no part of it began; sending it again is safe.
- * - `unknown`: it may have begun; only an idempotent resend is safe.
+ * What is known about the execution of the work.
+ * - `done`: it ran exactly once, and the response is complete.
+ * - `not-run`: no part of it was started; sending it again is safe.
+ * - `unknown`: it may have been started; only idempotent work is safe to resend.
  */
 export type Effect = 'done' | 'not-run' | 'unknown';
 
@@ -16,9 +16,9 @@
   readonly number: number;
   readonly name: string;
   readonly effect: Effect;
-  /** The HTTP status that carries it to a caller, where one does. */
+  /** The HTTP status of a response with this result, where there is one. */
   readonly status: number;
-  /** What it means and what to do about it, one sentence each. */
+  /** The meaning and the recommended action, one sentence each. */
   readonly meaning: string;
 }
 
--- a/src/result/failure.ts
+++ b/src/result/failure.ts
@@ -12,17 +12,17 @@
   }
 }
 
-/** Either a value or the failure that stands in its place. */
+/** Either a value or a failure. */
 export type Result<T> =
   | {readonly ok: true; readonly value: T}
   | {readonly ok: false; readonly code: Code; readonly message: string};
 
-/** A successful result. */
+/** Creates a successful result. */
 export function success<T>(value: T): Result<T> {
   return {ok: true, value};
 }
 
-/** A failed result; `message` says what to do about it. */
+/** Creates a failed result; `message` states what to do about it. */
 export function failure(code: Code, message: string): Result<never> {
   return {ok: false, code, message};
 }
--- a/src/time/clock.ts
+++ b/src/time/clock.ts
@@ -1,11 +1,11 @@
 /**
- * The source of time. Decisions never read the machine's clock themselves, so
- * that the same code runs in a process and in a test that moves time by hand.
+ * The source of time. No other code reads the clock of the machine, so that the
+ * same code runs in a process and in a test that controls time.
  */
 export abstract class Clock {
-  /** Milliseconds from an arbitrary start; never goes back. */
+  /** Milliseconds since an arbitrary start; monotonic. */
   abstract now(): number;
 
-  /** Milliseconds since the Unix epoch; for people and logs only. */
+  /** Milliseconds since the Unix epoch; only for display and logs. */
   abstract wall(): number;
 }
--- a/src/time/deadline.ts
+++ b/src/time/deadline.ts
@@ -1,10 +1,10 @@
 /**
- * Longest delay that a timer of the platform takes, in milliseconds. A longer
- * one would fire at once, and work with a far deadline would end at its start.
+ * Maximum delay that a timer of Node.js supports, in milliseconds. A timer with a
+ * longer delay fires at once, so work with a distant deadline would end at its start.
  */
-const longestDelay = 2 ** 31 - 1;
+const maxDelay = 2 ** 31 - 1;
 
-/** Milliseconds to wait for a deadline, as a timer takes them. */
+/** Milliseconds until a deadline, limited to the range of a timer. */
 export function delayUntil(deadline: number, now: number): number {
-  return Math.min(Math.max(0, deadline - now), longestDelay);
+  return Math.min(Math.max(0, deadline - now), maxDelay);
 }
--- a/src/time/fakes/fake-timers.test.ts
+++ b/src/time/fakes/fake-timers.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
 import {createFakeTimers} from './fake-timers.js';
 
-test('tasks run in the order in which they fall due', t => {
+test('tasks run in the order in which they are due', t => {
   const timers = createFakeTimers();
   const ran: string[] = [];
   timers.after(20, () => ran.push('late'));
--- a/src/time/fakes/fake-timers.ts
+++ b/src/time/fakes/fake-timers.ts
@@ -8,16 +8,16 @@
   task: () => void;
 }
 
-/** A timer service whose time is moved by the test. */
+/** A timer service whose time the test controls. */
 export abstract class FakeTimers extends Timers {
-  /** Moves time on by `duration` milliseconds, running what falls due in order. */
+  /** Advances time by `duration` milliseconds and runs the tasks that are due in order. */
   abstract advance(duration: number): void;
 
-  /** Like `advance`, letting promises settle after each task. */
+  /** Like `advance`, but lets promises settle after each task. */
   abstract advanceAsync(duration: number): Promise<void>;
 }
 
-/** Lets every promise that can settle without time passing do so. */
+/** Lets all promises settle that do not depend on the passing of time. */
 export async function settle(turns = 10): Promise<void> {
   for (let turn = 0; turn < turns; turn++) {
     await new Promise<void>(resolve => setImmediate(resolve));
--- a/src/time/loop-delay.test.ts
+++ b/src/time/loop-delay.test.ts
@@ -3,50 +3,50 @@
 import {createFakeTimers} from './fakes/fake-timers.js';
 import {watchLoopDelay} from './loop-delay.js';
 
-function stage() {
+function setUp() {
   const fake = createFakeTimers();
   const timers = createFreezableTimers(fake);
-  const looks: number[] = [];
-  const delay = watchLoopDelay({timers, onSample: late => looks.push(late)});
-  const hold = (duration: number) => {
+  const samples: number[] = [];
+  const delay = watchLoopDelay({timers, onSample: late => samples.push(late)});
+  const block = (duration: number) => {
     timers.freeze();
     fake.advance(duration);
     timers.thaw();
   };
-  return {fake, delay, looks, hold};
+  return {fake, delay, samples, block};
 }
 
 test('a loop that keeps up has no delay', t => {
-  const {fake, delay, looks} = stage();
+  const {fake, delay, samples} = setUp();
   fake.advance(1000);
   t.is(delay.current(), 0);
-  t.true(looks.length >= 10);
-  t.true(looks.every(late => late === 0));
+  t.true(samples.length >= 10);
+  t.true(samples.every(late => late === 0));
 });
 
-test('a loop that is held up shows it at once, and for some looks after', t => {
-  const {fake, delay, looks, hold} = stage();
+test('a delay of a blocked loop is visible at once and decays over some samples', t => {
+  const {fake, delay, samples, block} = setUp();
   fake.advance(1000);
-  hold(120);
+  block(120);
   t.true(delay.current() >= 100);
   fake.advance(40);
-  t.true(Math.max(...looks) >= 100);
+  t.true(Math.max(...samples) >= 100);
   t.true(delay.current() > 50);
   fake.advance(1000);
   t.true(delay.current() < 1);
 });
 
-test('the mean follows delays that last', t => {
-  const {fake, delay, hold} = stage();
-  for (let count = 0; count < 100; count++) hold(60);
+test('the mean follows lasting delays', t => {
+  const {fake, delay, block} = setUp();
+  for (let count = 0; count < 100; count++) block(60);
   t.true(delay.mean() > 10);
   fake.advance(5000);
   t.true(delay.mean() < 1);
 });
 
-test('nothing is looked at after the end', t => {
-  const {fake, delay, looks} = stage();
+test('no samples are taken after a cancel', t => {
+  const {fake, delay, samples} = setUp();
   delay.cancel();
   fake.advance(1000);
-  t.deepEqual(looks, []);
+  t.deepEqual(samples, []);
 });
--- a/src/time/loop-delay.ts
+++ b/src/time/loop-delay.ts
@@ -1,51 +1,52 @@
 /**
- * How late the loop of a process runs. What arrives waits for the loop unseen,
- * in sockets; a timer that is due waits for the same turns, and tells how long.
+ * Measures the delay of the event loop of a process. Received data waits in sockets
+ * until the loop reads it, where the process can't observe it. A timer that is due
+ * waits for the same turns of the loop, so its delay shows how long.
  */
 import type {Subscription, Timers} from './timers.js';
 
-/** How late a loop runs, in milliseconds. */
+/** The delay of an event loop, in milliseconds. */
 export interface LoopDelay {
-  /** What arrives now waits so long until its turn; rises at once, falls slowly. */
+  /** Estimated delay of data that arrives now; rises at once and decays slowly. */
   current(): number;
-  /** The mean of the last few looks, or of the last one if that was late. */
+  /** Moving average of the delay; a sample that is late has a higher weight. */
   mean(): number;
 }
 
-/** What `watchLoopDelay` works with. */
+/** Options of `watchLoopDelay`. */
 export interface LoopDelayOptions {
   readonly timers: Timers;
-  /** Hears how late the loop was at each look. */
+  /** Called with the delay of the loop at each sample. */
   readonly onSample?: (late: number) => void;
 }
 
-/** Milliseconds between two looks; the delays that matter are as long. */
-const lookEvery = 20;
+/** Milliseconds between two samples; shorter delays are not relevant. */
+const samplePeriod = 20;
 
-/** What is left of a delay at the next look, when that is on time. */
-const kept = 0.8;
+/** Factor by which a delay decays until the next sample, if that is on time. */
+const decay = 0.8;
 
-/** Milliseconds after which a look has lost most of its weight in the mean. */
-const meanOver = 300;
+/** Time constant of the moving average in milliseconds. */
+const meanTimeConstant = 300;
 
-/** The delay of a loop that is never late. */
+/** A constant delay of 0. */
 export const noLoopDelay: LoopDelay = {current: () => 0, mean: () => 0};
 
-/** Watches the loop until cancelled. */
+/** Samples the delay of the event loop until cancelled. */
 export function watchLoopDelay(
   options: LoopDelayOptions,
 ): LoopDelay & Subscription {
   const {timers} = options;
-  let dueAt = timers.now() + lookEvery;
+  let dueAt = timers.now() + samplePeriod;
   let delay = 0;
   let mean = 0;
 
-  const looking = timers.every(lookEvery, () => {
+  const sampling = timers.every(samplePeriod, () => {
     const now = timers.now();
     const late = Math.max(0, now - dueAt);
-    dueAt = now + lookEvery;
-    delay = Math.max(late, delay * kept);
-    const weight = 1 - Math.exp(-(late + lookEvery) / meanOver);
+    dueAt = now + samplePeriod;
+    delay = Math.max(late, delay * decay);
+    const weight = 1 - Math.exp(-(late + samplePeriod) / meanTimeConstant);
     mean += (late - mean) * weight;
     options.onSample?.(late);
   });
@@ -53,6 +54,6 @@
   return {
     current: () => Math.max(delay, timers.now() - dueAt),
     mean: () => mean,
-    cancel: () => looking.cancel(),
+    cancel: () => sampling.cancel(),
   };
 }
--- a/src/time/silence-watch.ts
+++ b/src/time/silence-watch.ts
@@ -1,40 +1,43 @@
 import type {Timers} from './timers.js';
 
-/** What a look at the other end of a link found. */
+/**
+ * Result of a check of a link: a message was received within the limit, none was
+ * received, or this process itself was paused.
+ */
 export type LinkActivity = 'heard' | 'silent' | 'paused';
 
-/** Notices that nothing is heard any more. */
+/** Detects that no more messages are received. */
 export interface SilenceWatch {
-  /** Tells that the other end was heard. */
+  /** Records that a message of the other end was received. */
   recordActivity(): void;
-  /** To be called once each period. */
+  /** Checks the link; must be called once per period. */
   check(): LinkActivity;
 }
 
 /**
- * Creates a watch that calls `limit` milliseconds without a sign silent. A look
- * that comes late by more than a period means that this process itself stood
- * still: what the others sent meanwhile is still unread, and taken for silence
- * it would end every link at once when a VM wakes.
+ * Creates a watch that reports silence after `limit` milliseconds without a message.
+ * A check that is late by more than a period means that this process itself was
+ * paused, and messages that arrived meanwhile are still unread. If that counted as
+ * silence, all links would be closed at once when a paused VM resumes.
  */
 export function createSilenceWatch(
   timers: Timers,
   period: number,
   limit: number,
 ): SilenceWatch {
-  let heardAt = timers.now();
-  let lookedAt = heardAt;
+  let receivedAt = timers.now();
+  let checkedAt = receivedAt;
 
   return {
     recordActivity() {
-      heardAt = timers.now();
+      receivedAt = timers.now();
     },
     check() {
       const now = timers.now();
-      const isLate = now - lookedAt > 2 * period;
-      lookedAt = now;
-      if (!isLate) return now - heardAt > limit ? 'silent' : 'heard';
-      heardAt = now;
+      const isLate = now - checkedAt > 2 * period;
+      checkedAt = now;
+      if (!isLate) return now - receivedAt > limit ? 'silent' : 'heard';
+      receivedAt = now;
       return 'paused';
     },
   };
--- a/src/time/timers.ts
+++ b/src/time/timers.ts
@@ -1,21 +1,21 @@
 import {performance} from 'node:perf_hooks';
 import {Clock} from './clock.js';
 
-/** A subscription to the timer service; cancelling twice is harmless. */
+/** A scheduled task or a watch; cancelling it repeatedly has no effect. */
 export interface Subscription {
   cancel(): void;
 }
 
-/** The timer service: the only way in which a part learns that time passed. */
+/** The timer service; all code schedules its tasks with it. */
 export abstract class Timers extends Clock {
   /** Calls `task` once, `delay` milliseconds from now. */
   abstract after(delay: number, task: () => void): Subscription;
 
-  /** Calls `task` each `period` milliseconds until cancelled. */
+  /** Calls `task` every `period` milliseconds until cancelled. */
   abstract every(period: number, task: () => void): Subscription;
 }
 
-/** Creates the timer service of a process, on the machine's clock. */
+/** Creates a timer service that uses the clock of the machine. */
 export function createTimers(): Timers {
   return new (class extends Timers {
     now(): number {
--- a/src/time/turn.ts
+++ b/src/time/turn.ts
@@ -1,7 +1,8 @@
 /**
- * Lets the loop do what waits: messages that came, timers that are due. Work
- * that grows with its input gives way so from time to time, or heartbeats and
- * answers to pings wait behind it and this process is taken for a dead one.
+ * Resolves in the next turn of the event loop, after received messages and due
+ * timers. Work whose duration grows with its input must await this from time to
+ * time. Otherwise it delays heartbeats and answers to pings, and other processes
+ * take this one for crashed.
  */
 export function nextTurn(): Promise<void> {
   return new Promise(resolve => setImmediate(resolve));
