--- a/src/distribution/home.test.ts
+++ b/src/distribution/home.test.ts
@@ -87,7 +87,9 @@
     {safeguards: silence},
   );
   await stage.timers.advanceAsync(2000);
-  stage.network.setDeliveryRule(source => (source === 'control-1' ? 'hold' : 'deliver'));
+  stage.network.setDeliveryRule(source =>
+    source === 'control-1' ? 'hold' : 'deliver',
+  );
   await stage.timers.advanceAsync(1500);
   const cutAt = stage.timers.now();
   stage.network.cut('node-1', 'control-1');
--- a/src/link/channel.ts
+++ b/src/link/channel.ts
@@ -1,6 +1,6 @@
 import type {Link} from './link.js';
 
-/** The planes that share one link between a node and its home: separate protocols. */
+/** The planes, that is protocols, that share one link between a node and its home. */
 export type Plane = 'configuration' | 'endpoints' | 'fleet' | 'quarantine';
 
 interface Envelope {
--- a/src/metrics/metered-network.ts
+++ b/src/metrics/metered-network.ts
@@ -7,10 +7,10 @@
 /** Milliseconds between two counts of the bytes of open links. */
 const countPeriod = 1000;
 
-/** Wraps a network and counts the bytes of its links for the link kind `traffic`. */
+/** Wraps a network and counts the bytes of its links under `linkKind`. */
 export function createMeteredNetwork(
   network: Network,
-  traffic: LinkKind,
+  linkKind: LinkKind,
   metrics: Metrics,
   timers: Timers,
 ): Network {
@@ -21,7 +21,7 @@
   });
 
   function watch(link: Link): Link {
-    const meter = createMeter(link, traffic, metrics);
+    const meter = createMeter(link, linkKind, metrics);
     meters.add(meter);
     return wrapLink(link, () => {
       meter.count();
@@ -45,7 +45,7 @@
   count(): void;
 }
 
-function createMeter(link: Link, traffic: LinkKind, metrics: Metrics): Meter {
+function createMeter(link: Link, linkKind: LinkKind, metrics: Metrics): Meter {
   let received = 0;
   let sent = 0;
   return {
@@ -54,7 +54,7 @@
       // counter throws when it is decremented.
       const bytesIn = Math.max(received, link.bytesIn);
       const bytesOut = Math.max(sent, link.bytesOut);
-      metrics.traffic(traffic, bytesIn - received, bytesOut - sent);
+      metrics.traffic(linkKind, bytesIn - received, bytesOut - sent);
       received = bytesIn;
       sent = bytesOut;
     },
--- a/src/node/planned-stop.test.ts
+++ b/src/node/planned-stop.test.ts
@@ -4,7 +4,7 @@
 import {createFakeTimers, settle} from '../time/fakes/fake-timers.js';
 import {stopInOrder} from './planned-stop.js';
 
-function setUp({grace = 3_500, hasUpstream = true} = {}) {
+function setUp({gracePeriod = 3_500, hasUpstream = true} = {}) {
   const timers = createFakeTimers();
   const steps: string[] = [];
   const record = (step: string) => async () => {
@@ -36,7 +36,7 @@
       gate: {stop: record('gate')},
       gateServer: {stop: record('links')},
       handOverClaims: record('claims'),
-      gracePeriod: grace,
+      gracePeriod,
       timers,
     },
     5_000,
@@ -67,7 +67,7 @@
   ]);
 });
 
-for (const options of [{grace: 500}, {hasUpstream: false}]) {
+for (const options of [{gracePeriod: 500}, {hasUpstream: false}]) {
   test(`a gate closes at once, ${JSON.stringify(options)}`, async t => {
     const {steps, stopped} = setUp(options);
     await stopped;
--- a/src/node/planned-stop.ts
+++ b/src/node/planned-stop.ts
@@ -57,10 +57,10 @@
 }
 
 function waitWithOpenGate(
-  {announcer, gracePeriod: grace, timers}: PlannedStopOptions,
+  {announcer, gracePeriod, timers}: PlannedStopOptions,
   deadline: number,
 ): Promise<void> {
-  const openTime = Math.min(grace, deadline) - gateClosingLead;
+  const openTime = Math.min(gracePeriod, deadline) - gateClosingLead;
   // A gate without an upstream serves no requests.
   if (openTime <= 0 || announcer.upstream() === undefined)
     return Promise.resolve();
--- a/src/node/request-path.ts
+++ b/src/node/request-path.ts
@@ -32,7 +32,7 @@
   readonly membership: Membership;
   readonly gate: Gate;
   readonly linkShare: LinkShare | undefined;
-  /** Called for each request that was answered after an earlier upstream connection broke. */
+  /** Called with each request that was answered after an earlier attempt lost its upstream. */
   readonly onCleared: (request: string) => void;
 }
 
--- a/src/relay/distribution-host.ts
+++ b/src/relay/distribution-host.ts
@@ -120,7 +120,7 @@
     fleet,
     registry,
     evidence,
-    attach: attach,
+    attach,
     updatePeers: () => mesh.follow(options.peers()),
     async stop() {
       mesh.stop();
--- a/src/time/clock.ts
+++ b/src/time/clock.ts
@@ -1,6 +1,7 @@
 /**
- * The source of time. No other code reads the clock of the machine, so that the
- * same code runs in a process and in a test that controls time.
+ * The source of time. Decisions are based on it and not directly on the clock of
+ * the machine, so that the same code runs in a process and in a test that controls
+ * time.
  */
 export abstract class Clock {
   /** Milliseconds since an arbitrary start; monotonic. */
--- a/src/time/silence-watch.ts
+++ b/src/time/silence-watch.ts
@@ -4,7 +4,7 @@
  * Result of a check of a link: a message was received within the limit, none was
  * received, or this process itself was paused.
  */
-export type LinkActivity = 'heard' | 'silent' | 'paused';
+export type LinkActivity = 'active' | 'silent' | 'paused';
 
 /** Detects that no more messages are received. */
 export interface SilenceWatch {
@@ -36,7 +36,7 @@
       const now = timers.now();
       const isLate = now - checkedAt > 2 * period;
       checkedAt = now;
-      if (!isLate) return now - receivedAt > limit ? 'silent' : 'heard';
+      if (!isLate) return now - receivedAt > limit ? 'silent' : 'active';
       receivedAt = now;
       return 'paused';
     },
