--- a/scenarios/steps/endpoints.ts
+++ b/scenarios/steps/endpoints.ts
@@ -35,7 +35,7 @@
 });
 
 action('messages from {word} to {word} are held', (stage, from, to) => {
-  stage.mesh.network.setDeliveryRule((source, target, message) => {
+  stage.mesh.network.decide((source, target, message) => {
     if (source !== from || target !== to) return 'deliver';
     const isRecords = JSON.stringify(message).includes('"kind":"records"');
     return isRecords ? 'hold' : 'deliver';
@@ -57,7 +57,7 @@
 });
 
 action('what was held arrives crossed and doubled', async stage => {
-  stage.mesh.network.setDeliveryRule(() => 'double');
+  stage.mesh.network.decide(() => 'double');
   stage.mesh.network.release(true);
   await stage.mesh.advance(100);
 });
--- a/src/claims/interleavings.test.ts
+++ b/src/claims/interleavings.test.ts
@@ -106,7 +106,7 @@
     if (kind === 0) network.cut(random.pick(everyone), random.pick(everyone));
     if (kind === 1) network.heal();
     if (kind === 2) network.release(random.integer(2) === 0);
-    if (kind > 2) network.setDeliveryRule(chooseFate);
+    if (kind > 2) network.decide(chooseFate);
   }
 
   function chooseFate(): DeliveryOutcome {
@@ -125,7 +125,7 @@
     else if (draw < 16) cluster.assign(set);
     await timers.advanceAsync(random.integer(25));
   }
-  network.setDeliveryRule(() => 'deliver');
+  network.decide(() => 'deliver');
   network.heal();
   network.release(true);
   cluster.assign(set);
--- a/src/claims/tenure.test.ts
+++ b/src/claims/tenure.test.ts
@@ -276,7 +276,7 @@
   const fifth = await cluster.startKeeper('k5');
   const second = replaceMember(cluster.first, 'k1', fourth);
   const third = replaceMember(second, 'k3', fifth);
-  network.setDeliveryRule((source, _, message) => {
+  network.decide((source, _, message) => {
     const {question} = message as Partial<Envelope>;
     return source === 'k2' && question?.kind === 'seal' ? 'hold' : 'deliver';
   });
@@ -284,7 +284,7 @@
   await timers.advanceAsync(100);
   cluster.assign(second, ['k3', 'k4']);
   await timers.advanceAsync(500);
-  network.setDeliveryRule(() => 'deliver');
+  network.decide(() => 'deliver');
   network.release();
   cluster.assign(third);
   await timers.advanceAsync(3000);
@@ -307,7 +307,7 @@
   cluster.killKeeper('k1');
   const fourth = await cluster.startKeeper('k4');
   const second = replaceMember(cluster.first, 'k1', fourth);
-  network.setDeliveryRule((_, target, message) => {
+  network.decide((_, target, message) => {
     const {question} = message as Partial<Envelope>;
     const isSeal = question?.kind === 'seal' && target === 'k2';
     return isSeal || question?.kind === 'settle' ? 'hold' : 'deliver';
@@ -316,7 +316,7 @@
   await timers.advanceAsync(20);
   const booked = cluster.submit(gate, 'key');
   await timers.advanceAsync(5);
-  network.setDeliveryRule(() => 'deliver');
+  network.decide(() => 'deliver');
   network.release();
   await timers.advanceAsync(2000);
   t.is((await booked).kind, 'granted');
--- a/src/consensus/barrier.test.ts
+++ b/src/consensus/barrier.test.ts
@@ -38,7 +38,7 @@
   const group = await startTestGroup(3);
   await group.run(200);
   const rounds = new Set<number>();
-  group.network.setDeliveryRule((_source, _target, message) => {
+  group.network.decide((_source, _target, message) => {
     const {kind, round} = message as Append;
     if (kind === 'append') rounds.add(round);
     return 'deliver';
--- a/src/consensus/durability.test.ts
+++ b/src/consensus/durability.test.ts
@@ -135,7 +135,7 @@
   const group = createTestGroup(3, {safeguards, diskOptions});
   let voter: string | undefined;
   let sent = 0;
-  group.network.setDeliveryRule((source, _target, message) => {
+  group.network.decide((source, _target, message) => {
     const {kind, trial, granted, term} = message as VoteAnswer;
     const isVote = kind === 'vote-answer' && granted && !trial;
     if (!isVote || voter !== undefined) return 'deliver';
--- a/src/consensus/faults.test.ts
+++ b/src/consensus/faults.test.ts
@@ -154,7 +154,7 @@
     if (kind > 14) await start(name);
   }
 
-  group.network.setDeliveryRule(() => {
+  group.network.decide(() => {
     const chance = random.integer(100);
     if (chance < 3) return 'drop';
     if (chance < 5) return 'double';
@@ -212,7 +212,7 @@
   random: Random,
 ): Promise<void> {
   group.network.heal();
-  group.network.setDeliveryRule(() => 'deliver');
+  group.network.decide(() => 'deliver');
   group.network.release(random.integer(2) === 0);
   for (const name of frozen) group.thaw(name);
   for (let round = 0; round < recoveryRounds; round++) {
--- a/src/consensus/membership.test.ts
+++ b/src/consensus/membership.test.ts
@@ -143,7 +143,7 @@
   group.kill(dead);
   group.member(dead).disk.wipe();
   await group.start(dead);
-  group.network.setDeliveryRule((source, _target, message) => {
+  group.network.decide((source, _target, message) => {
     const {kind} = message as {kind: string};
     return source === dead && kind === 'appended' ? 'drop' : 'deliver';
   });
@@ -166,7 +166,7 @@
   const leader = group.leader()!;
   const leaving = group.names.find(name => name !== leader)!;
   const mute = new Set(['d', leaving]);
-  group.network.setDeliveryRule((source, _target, message) => {
+  group.network.decide((source, _target, message) => {
     const {kind} = message as {kind: string};
     return mute.has(source) && kind === 'appended' ? 'drop' : 'deliver';
   });
--- a/src/consensus/replication.test.ts
+++ b/src/consensus/replication.test.ts
@@ -14,7 +14,7 @@
   const leader = group.leader()!;
   const frozen = group.names.find(name => name !== leader)!;
   let bytes = 0;
-  group.network.setDeliveryRule((_source, target, message) => {
+  group.network.decide((_source, target, message) => {
     const {kind, entries} = message as Append;
     if (kind !== 'append' || target !== frozen) return 'deliver';
     for (const entry of entries) {
--- a/src/consensus/snapshot.test.ts
+++ b/src/consensus/snapshot.test.ts
@@ -124,7 +124,7 @@
   group.kill(old);
   await group.start(old);
   const leader = await group.elect();
-  group.network.setDeliveryRule((_source, target, message) => {
+  group.network.decide((_source, target, message) => {
     const {kind} = message as {kind: string};
     return target === late && kind === 'snapshot-part' ? 'drop' : 'deliver';
   });
@@ -133,7 +133,7 @@
   await group.run(1000);
   const {commitIndex, lastIndex} = group.member(late).consensus!.status();
   t.true(commitIndex <= lastIndex);
-  group.network.setDeliveryRule(() => 'deliver');
+  group.network.decide(() => 'deliver');
   await group.run(2000);
   t.is(digestOf(group, late), digestOf(group, leader));
 });
@@ -147,7 +147,7 @@
     await group.propose(leader, 'x'.repeat(100_000));
   }
   let parts = 0;
-  group.network.setDeliveryRule((_source, _target, message) => {
+  group.network.decide((_source, _target, message) => {
     const isPart = (message as {kind: string}).kind === 'snapshot-part';
     if (!isPart) return 'deliver';
     parts++;
--- a/src/distribution/admission.test.ts
+++ b/src/distribution/admission.test.ts
@@ -118,7 +118,7 @@
   await stage.timers.advanceAsync(2000);
   let sent = 0;
   let ahead: number | undefined;
-  stage.network.setDeliveryRule((source, target, message) => {
+  stage.network.decide((source, target, message) => {
     const text = JSON.stringify(message);
     if (source !== 'control-1' || !text.includes('"push"')) return 'deliver';
     if (target !== 'steady') sent += text.length;
--- a/src/distribution/confirmation-watch.test.ts
+++ b/src/distribution/confirmation-watch.test.ts
@@ -51,7 +51,7 @@
 
 test('a push that does not come shows by a fresh mark of a newer version', async t => {
   const {stage, operator, lines} = await watchNode();
-  stage.network.setDeliveryRule((_source, _target, message) =>
+  stage.network.decide((_source, _target, message) =>
     JSON.stringify(message).includes('"push"') ? 'drop' : 'deliver',
   );
   operator.accept({put: ['crewbook']});
--- a/src/distribution/home.test.ts
+++ b/src/distribution/home.test.ts
@@ -87,9 +87,7 @@
     {safeguards: silence},
   );
   await stage.timers.advanceAsync(2000);
-  stage.network.setDeliveryRule(source =>
-    source === 'control-1' ? 'hold' : 'deliver',
-  );
+  stage.network.decide(source => (source === 'control-1' ? 'hold' : 'deliver'));
   await stage.timers.advanceAsync(1500);
   const cutAt = stage.timers.now();
   stage.network.cut('node-1', 'control-1');
@@ -157,7 +155,7 @@
 // round them would ask each for its whole state, again and again.
 test('a node that can’t read new versions seldom changes its home', async t => {
   const {stage, operator, node} = await attachToThree();
-  stage.network.setDeliveryRule((_source, _target, message) =>
+  stage.network.decide((_source, _target, message) =>
     JSON.stringify(message).includes('"push"') ? 'drop' : 'deliver',
   );
   let links = 0;
--- a/src/distribution/in-force.test.ts
+++ b/src/distribution/in-force.test.ts
@@ -40,9 +40,7 @@
   await stage.timers.advanceAsync(3000 + offset);
   if (node.home.address() !== homes[0]!.address) throw new Error('not nearest');
   const still = new Set<string>();
-  stage.network.setDeliveryRule(source =>
-    still.has(source) ? 'hold' : 'deliver',
-  );
+  stage.network.decide(source => (still.has(source) ? 'hold' : 'deliver'));
 
   return {
     stage,
--- a/src/distribution/storm.test.ts
+++ b/src/distribution/storm.test.ts
@@ -18,7 +18,7 @@
   control.quorum = false;
   const homes = relays.map(({address}) => address);
   let asked = 0;
-  stage.network.setDeliveryRule((source, _target, message) => {
+  stage.network.decide((source, _target, message) => {
     const isNode = source.startsWith('node');
     if (isNode && JSON.stringify(message).includes('subscribe"')) asked++;
     return 'deliver';
--- a/src/distribution/subscriber.test.ts
+++ b/src/distribution/subscriber.test.ts
@@ -22,7 +22,7 @@
   const operator = createOperator();
   operator.accept({put: ['stock-desk']});
   const control = await stage.control('control-1', operator);
-  stage.network.setDeliveryRule((_source, _target, message) => {
+  stage.network.decide((_source, _target, message) => {
     if (pushOf(message)?.version !== 1) return 'deliver';
     stage.timers.after(0.5, () => operator.accept({put: ['parts-files']}));
     return 'double';
@@ -52,7 +52,7 @@
   const control = await stage.control('control-1', operator);
   const node = stage.node('node-1', [control.address], {safeguards});
   await stage.timers.advanceAsync(100);
-  stage.network.setDeliveryRule((_source, _target, message) =>
+  stage.network.decide((_source, _target, message) =>
     pushOf(message)?.version === 2 ? 'drop' : 'deliver',
   );
   operator.accept({put: ['crewbook']});
@@ -81,12 +81,12 @@
   const control = await stage.control('control-1', operator);
   const node = stage.node('node-1', [control.address]);
   await stage.timers.advanceAsync(100);
-  stage.network.setDeliveryRule((_source, _target, message) =>
+  stage.network.decide((_source, _target, message) =>
     pushOf(message)?.sections ? 'drop' : 'deliver',
   );
   operator.accept({put: ['stock-desk']});
   await stage.timers.advanceAsync(10);
-  stage.network.setDeliveryRule(() => 'deliver');
+  stage.network.decide(() => 'deliver');
   await stage.timers.advanceAsync(2000);
   t.deepEqual(node.subscriber.current(), operator.current());
 });
@@ -102,14 +102,14 @@
   node.subscriber.onSwitch(state =>
     t.deepEqual(state, accepted.get(state.version)),
   );
-  stage.network.setDeliveryRule((_source, _target, message) =>
+  stage.network.decide((_source, _target, message) =>
     pushOf(message) ? 'hold' : 'deliver',
   );
   for (const put of [['crewbook'], ['drillvault'], ['stock-desk']]) {
     operator.accept({put});
     accepted.set(operator.accepted().version, operator.accepted());
   }
-  stage.network.setDeliveryRule(() => 'deliver');
+  stage.network.decide(() => 'deliver');
   stage.network.release(true);
   await stage.timers.advanceAsync(100);
   t.deepEqual(node.subscriber.current(), operator.current());
@@ -128,7 +128,7 @@
     safeguards,
   });
   await stage.timers.advanceAsync(100);
-  stage.network.setDeliveryRule((_source, _target, message) =>
+  stage.network.decide((_source, _target, message) =>
     pushOf(message)?.version === 2 ? 'drop' : 'deliver',
   );
   operator.accept({put: ['crewbook']});
@@ -214,7 +214,7 @@
       if (!state.policies.has(route.policy)) seen.dangling++;
     }
   });
-  stage.network.setDeliveryRule((_source, _target, message) => {
+  stage.network.decide((_source, _target, message) => {
     if (pushOf(message) === undefined) return 'deliver';
     return random.pick(['deliver', 'deliver', 'drop', 'double', 'hold']);
   });
@@ -226,7 +226,7 @@
     if (step % 7 === 3) stage.network.release(random.integer(2) === 0);
     await stage.timers.advanceAsync(random.integer(300));
   }
-  stage.network.setDeliveryRule(() => 'deliver');
+  stage.network.decide(() => 'deliver');
   node.subscriber.subscribe('all');
   await stage.timers.advanceAsync(10_000);
   const isCurrent = isDeepStrictEqual(
--- a/src/endpoints/convergence.test.ts
+++ b/src/endpoints/convergence.test.ts
@@ -118,7 +118,7 @@
 /** Some messages are lost and some doubled; links do not tell. */
 function disturbMessages(world: World): void {
   const {random} = world;
-  world.mesh.network.setDeliveryRule(() => {
+  world.mesh.network.decide(() => {
     const chance = random.fraction();
     if (chance < 0.03) return 'drop';
     return chance < 0.06 ? 'double' : 'deliver';
@@ -144,7 +144,7 @@
   await churn(world, 40);
   setCut(world, false);
   await churn(world, 5);
-  world.mesh.network.setDeliveryRule(() => 'deliver');
+  world.mesh.network.decide(() => 'deliver');
   await world.mesh.advance(90 * second);
   return world;
 }
@@ -246,7 +246,7 @@
     await churn(world, 4);
     await restartHome(world);
   }
-  world.mesh.network.setDeliveryRule(() => 'deliver');
+  world.mesh.network.decide(() => 'deliver');
   await world.mesh.advance(90 * second);
   return {world, lost: lost()};
 }
--- a/src/endpoints/registry.test.ts
+++ b/src/endpoints/registry.test.ts
@@ -46,7 +46,7 @@
   await mesh.home('home-b');
   const caller = await mesh.join('home-b', 'caller');
   await mesh.advance(2 * second);
-  mesh.network.setDeliveryRule((source, target, message) => {
+  mesh.network.decide((source, target, message) => {
     const text = JSON.stringify(message);
     if (source !== 'home-a' || target !== 'home-b') return 'deliver';
     return text.includes('"kind":"records"') ? 'hold' : 'deliver';
@@ -55,7 +55,7 @@
   node.announcer.announce(upstream({state: 'draining'}));
   node.announcer.withdraw();
   await mesh.advance(100);
-  mesh.network.setDeliveryRule(() => 'double');
+  mesh.network.decide(() => 'double');
   mesh.network.release(true);
   await mesh.advance(100);
   return caller.view();
@@ -117,7 +117,7 @@
   const caller = await mesh.join('home-b', 'caller');
   await mesh.advance(20 * second);
   const lost = new Set<string>();
-  mesh.network.setDeliveryRule((source, target, message) => {
+  mesh.network.decide((source, target, message) => {
     const {body} = message as {body: {kind: string}};
     const way = `${source}>${target} ${body.kind}`;
     const carries = ['announce', 'records', 'delta'].includes(body.kind);
--- a/src/fleet/fleet.test.ts
+++ b/src/fleet/fleet.test.ts
@@ -20,7 +20,7 @@
   const control = await stage.control('control-1', operator);
   const node = stage.node('node-1', [control.address]);
   await stage.timers.advanceAsync(2000);
-  stage.network.setDeliveryRule((source, _target, message) => {
+  stage.network.decide((source, _target, message) => {
     const isPush = JSON.stringify(message).includes('"push"');
     return source === 'control-1' && isPush ? 'hold' : 'deliver';
   });
@@ -29,7 +29,7 @@
   t.is(control.distributor.position().version, 2);
   t.like(control.fleet.summary(), {version: 2, inForce: 0, behind: 1});
   t.deepEqual(control.fleet.summary().laggards, ['node-1']);
-  stage.network.setDeliveryRule(() => 'deliver');
+  stage.network.decide(() => 'deliver');
   stage.network.release();
   t.is(node.subscriber.current()!.version, 2);
   await stage.timers.advanceAsync(10);
--- a/src/link/fakes/fake-network.ts
+++ b/src/link/fakes/fake-network.ts
@@ -20,7 +20,7 @@
   /** Closes all links of one process, as a crash would. */
   kill(name: string): void;
   /** Sets the rule for the outcome of each message; by default all are delivered. */
-  setDeliveryRule(
+  decide(
     rule: (source: string, target: string, message: unknown) => DeliveryOutcome,
   ): void;
   /** Delivers the held messages, in reverse order if `reversed`. */
@@ -201,7 +201,7 @@
         timers.after(delay, () => closeEnd(other));
       }
     },
-    setDeliveryRule: next => void (rule = next),
+    decide: next => void (rule = next),
     release(reversed = false) {
       const messages = reversed ? held.reverse() : held;
       held = [];
