--- a/src/claims/interleavings.test.ts
+++ b/src/claims/interleavings.test.ts
@@ -1,6 +1,6 @@
 import test from 'ava';
 import type {Keeper, KeeperAssignment} from '../configuration/configuration.js';
-import type {Fate} from '../link/fakes/fake-network.js';
+import type {DeliveryOutcome} from '../link/fakes/fake-network.js';
 import {createRandom} from '../random/random.js';
 import {createClaimCluster} from './fakes/claim-cluster.js';
 import type {
@@ -109,7 +109,7 @@
     if (kind > 2) network.decide(chooseFate);
   }
 
-  function chooseFate(): Fate {
+  function chooseFate(): DeliveryOutcome {
     const draw = random.integer(100);
     if (draw < 4) return 'drop';
     if (draw < 8) return 'double';
--- a/src/fleet/fleet.ts
+++ b/src/fleet/fleet.ts
@@ -111,7 +111,7 @@
         : acceptPeer(hello, channels);
     for (const observe of helloObservers) observe(hello, channels);
     return message => {
-      watch.hear();
+      watch.recordActivity();
       receiveFrom(message);
     };
   }
@@ -128,7 +128,7 @@
       silenceTimeout,
     );
     const timer: Subscription = timers.every(silenceTimeout / 2, () => {
-      if (watch.look() !== 'silent') return;
+      if (watch.check() !== 'silent') return;
       timer.cancel();
       log.warn('link is silent', {name: name()});
       channels.link.close();
--- a/src/metrics/metered-network.ts
+++ b/src/metrics/metered-network.ts
@@ -2,26 +2,26 @@
 import {Network} from '../link/link.js';
 import type {Address, Link, Listener} from '../link/link.js';
 import type {Timers} from '../time/timers.js';
-import type {Metrics, Traffic} from './metrics.js';
+import type {Metrics, LinkKind} from './metrics.js';
 
-/** Milliseconds between two counts of the open links' bytes. */
-const countEvery = 1000;
+/** Milliseconds between two counts of the bytes of open links. */
+const countPeriod = 1000;
 
-/** A network whose links' bytes are counted as `traffic`. */
+/** Wraps a network and counts the bytes of its links under `linkKind`. */
 export function createMeteredNetwork(
   network: Network,
-  traffic: Traffic,
+  linkKind: LinkKind,
   metrics: Metrics,
   timers: Timers,
 ): Network {
   const meters = new Set<Meter>();
 
-  timers.every(countEvery, () => {
+  timers.every(countPeriod, () => {
     for (const meter of meters) meter.count();
   });
 
   function watch(link: Link): Link {
-    const meter = createMeter(link, traffic, metrics);
+    const meter = createMeter(link, linkKind, metrics);
     meters.add(meter);
     return wrapLink(link, () => {
       meter.count();
@@ -41,27 +41,30 @@
 }
 
 interface Meter {
-  /** Reports what came and went since the last count. */
+  /** Reports the bytes received and sent since the last count. */
   count(): void;
 }
 
-function createMeter(link: Link, traffic: Traffic, metrics: Metrics): Meter {
+function createMeter(link: Link, linkKind: LinkKind, metrics: Metrics): Meter {
   let received = 0;
   let sent = 0;
   return {
     count() {
-      // A link that has ended takes back what it could not send any more, and
-      // a counter that is asked to go back throws.
+      // A closed link no longer includes the bytes that it could not send, and a
+      // counter throws when it is decremented.
       const bytesIn = Math.max(received, link.bytesIn);
       const bytesOut = Math.max(sent, link.bytesOut);
-      metrics.traffic(traffic, bytesIn - received, bytesOut - sent);
+      metrics.traffic(linkKind, bytesIn - received, bytesOut - sent);
       received = bytesIn;
       sent = bytesOut;
     },
   };
 }
 
-/** A link has one observer of its end; this one also tells `ended`. */
+/**
+ * Wraps a link, so that its end is also reported to `ended`; a link supports only
+ * one observer.
+ */
 function wrapLink(link: Link, ended: () => void): Link {
   let isClosed = false;
   let closed: (() => void) | undefined;
--- a/src/relay/run.ts
+++ b/src/relay/run.ts
@@ -1,4 +1,4 @@
-/** The relay role: a subscriber to control and a home to nodes. */
+/** The relay role: a subscriber of control that serves as a home of nodes. */
 import {createAdmin} from '../admin/create-admin.js';
 import {createHomeConnection} from '../distribution/home-connection.js';
 import {createSubscriber} from '../distribution/subscriber.js';
@@ -38,7 +38,7 @@
   const host = await createDistributionHost({
     self,
     address: settings.distributionAddress,
-    fellows: () => settings.relays,
+    peers: () => settings.relays,
     source: subscriber.sections,
     barrier: subscriber.barrier,
     asOf: home.asOf,
@@ -49,14 +49,14 @@
     random,
     log,
   });
-  home.onChannels(host.join);
+  home.onChannels(host.attach);
   home.onReport(host.fleet.receiveReport);
   subscriber.onSwitch(({version}) => admin.metrics.inForce(version));
   const adminServer = await admin.listen({
     notReady: () =>
       subscriber.current() === undefined ? ['no configuration in force'] : [],
   });
-  log.info('relay takes nodes', {address: settings.distributionAddress});
+  log.info('relay accepts nodes', {address: settings.distributionAddress});
 
   return {
     async stop() {
--- a/src/request/messages/host.ts
+++ b/src/request/messages/host.ts
@@ -1,4 +1,4 @@
-import {isNumber} from '../../link/address.js';
+import {isIpAddress} from '../../link/address.js';
 import type {Call} from './call.js';
 
 /**
@@ -9,7 +9,7 @@
   for (let index = 0; index + 1 < headers.length; index += 2) {
     if (headers[index]!.toLowerCase() !== 'host') continue;
     const host = headers[index + 1]!.toLowerCase().replace(/:\d+$/, '');
-    return isNumber(host) ? '' : host;
+    return isIpAddress(host) ? '' : host;
   }
   return '';
 }
--- a/src/request/transport/framed-link.ts
+++ b/src/request/transport/framed-link.ts
@@ -136,7 +136,7 @@
 
   function recordActivity(): void {
     lastReceivedAt = timers.now();
-    silenceWatch.hear();
+    silenceWatch.recordActivity();
   }
 
   function sendCall(call: number, pendingCall: PendingCall): void {
@@ -229,7 +229,7 @@
       };
     },
     check: () => {
-      const linkState = silenceWatch.look();
+      const linkState = silenceWatch.check();
       if (pendingCalls.size === 0 || link === undefined) return;
       if (linkState === 'silent') {
         log.warn('gate link silent', {gate: address, calls: pendingCalls.size});
