--- a/scenarios/stage.ts
+++ b/scenarios/stage.ts
@@ -1,5 +1,5 @@
 /** The stage of a scenario: three control VMs, nodes and operators. */
-import {decodeAnswer} from '../src/configuration/entry.js';
+import {decodeAnswer} from '../src/configuration/log-entry.js';
 import type {Answer, Command, Edit} from '../src/configuration/messages.js';
 import {createHome} from '../src/distribution/home.js';
 import type {Home} from '../src/distribution/home.js';
--- a/src/claims/step.ts
+++ b/src/claims/attempt-result.ts
@@ -5,7 +5,7 @@
 import type {Settlement, Vote} from './messages.js';
 
 /** Either the end of an acquisition, or another attempt after a pause. */
-export type Step =
+export type AttemptResult =
   | {readonly kind: 'end'; readonly acquisition: Acquisition}
   /** Under another name after a pause in milliseconds: the last was released. */
   | {readonly kind: 'again'; readonly pause: number}
@@ -16,19 +16,19 @@
 const unknownRetryAfter = 60;
 
 /** An acquisition that ends with a refusal. */
-export function refuse(code: Code, retryAfter = 1): Step {
+export function refuse(code: Code, retryAfter = 1): AttemptResult {
   const {meaning: message} = code;
   const acquisition = {kind: 'refused', code, message, retryAfter} as const;
   return {kind: 'end', acquisition};
 }
 
 /** An acquisition whose outcome nobody knows. */
-export function refuseUnknown(code: Code = claimCodes.outcomeUnknown): Step {
+export function refuseUnknown(code: Code = claimCodes.outcomeUnknown): AttemptResult {
   return refuse(code, unknownRetryAfter);
 }
 
 /** An acquisition that another request with the key decides. */
-export function endByVote(vote: Vote): Step {
+export function endByVote(vote: Vote): AttemptResult {
   if (vote.kind === 'key-reused') return refuse(claimCodes.keyReused, 0);
   if (vote.kind !== 'answered') return refuseUnknown();
   const {answer} = vote;
@@ -40,7 +40,7 @@
 export function grant(
   settle: (settlement: Settlement) => void,
   answerLimit: number,
-): Step {
+): AttemptResult {
   let isSettled = false;
   const once = (settlement: Settlement) => {
     if (!isSettled) settle(settlement);
--- a/src/claims/attempt.ts
+++ b/src/claims/attempt.ts
@@ -5,17 +5,17 @@
 import type {ClaimRequest} from './claims.js';
 import {claimCodes} from './codes.js';
 import type {Notice, Settlement} from './messages.js';
-import type {Hearing, KeeperPeers} from './peers.js';
-import type {Settler} from './settler.js';
-import {endByVote, grant, refuse, refuseUnknown} from './step.js';
-import type {Step} from './step.js';
-import {judge} from './verdict.js';
-import type {Ballot, Verdict} from './verdict.js';
+import type {KeeperResponse, KeeperClient} from './keeper-client.js';
+import type {SettlementSender} from './settlement-sender.js';
+import {endByVote, grant, refuse, refuseUnknown} from './attempt-result.js';
+import type {AttemptResult} from './attempt-result.js';
+import {countVotes} from './vote-count.js';
+import type {Ballot, VoteOutcome} from './vote-count.js';
 
 /** What attempts are made of. */
 export interface AttemptOptions {
-  readonly peers: KeeperPeers;
-  readonly settler: Settler;
+  readonly keeperClient: KeeperClient;
+  readonly settlementSender: SettlementSender;
   readonly timers: Timers;
   readonly random: Random;
   /** Milliseconds to wait for votes. */
@@ -24,7 +24,7 @@
   readonly answerLimit: number;
   readonly votesNeeded: (keepers: number) => number;
   /** A keeper told of a set that follows the one asked. */
-  readonly learn: (service: string, set: KeeperAssignment) => void;
+  readonly learnSet: (service: string, set: KeeperAssignment) => void;
 }
 
 /** Milliseconds after a gate's deadline until its claim counts as expired. */
@@ -39,7 +39,7 @@
   /** Its own name, never used again once it was released. */
   readonly claim: string;
   /** Every keeper that was asked for it, in whatever epoch. */
-  readonly asked: Set<Keeper>;
+  readonly contacted: Set<Keeper>;
 }
 
 /** Asks the keepers of one set for one claim. */
@@ -47,29 +47,29 @@
   options: AttemptOptions,
   request: ClaimRequest,
   assignment: KeeperAssignment,
-  {claim, asked}: Candidate,
-): Promise<Step> {
-  const {peers, settler, timers, random} = options;
+  {claim, contacted: asked}: Candidate,
+): Promise<AttemptResult> {
+  const {keeperClient: peers, settlementSender: settler, timers, random} = options;
   const {service, key, fingerprint, deadline} = request;
   const {members, epoch} = assignment;
   const ballots: Array<Ballot | undefined> = members.map(() => undefined);
   const subscriptions: Subscription[] = [];
-  let end: (step: Step) => void = () => {};
+  let end: (step: AttemptResult) => void = () => {};
   let isWaiting = false;
   let isDone = false;
 
   function settle(settlement: Settlement): void {
     const work = {service, key, fingerprint, claim};
-    settler.tell({kind: 'settle', settlement, ...work}, [...asked]);
+    settler.send({kind: 'settle', settlement, ...work}, [...asked]);
   }
 
-  function finish(step: Step): void {
+  function finish(step: AttemptResult): void {
     isDone = true;
     for (const subscription of subscriptions) subscription.cancel();
     end(step);
   }
 
-  function lose(step: Step): void {
+  function lose(step: AttemptResult): void {
     if (!isWaiting) settle({kind: 'released'});
     finish(step);
   }
@@ -89,7 +89,7 @@
     isWaiting = true;
   }
 
-  function act(verdict: Verdict): void {
+  function act(verdict: VoteOutcome): void {
     if (isDone || (isWaiting && verdict.kind !== 'found')) return;
     switch (verdict.kind) {
       case 'pending':
@@ -116,7 +116,7 @@
   }
 
   function count(): void {
-    act(judge(ballots, options.votesNeeded(members.length)));
+    act(countVotes(ballots, options.votesNeeded(members.length)));
   }
 
   function hearNotice({settlement}: Notice): void {
@@ -126,11 +126,11 @@
     lose({kind: 'again', pause: random.integer(contestSpread)});
   }
 
-  function hear(index: number, hearing: Hearing): void {
+  function hear(index: number, hearing: KeeperResponse): void {
     if (isDone) return;
     if (hearing.kind === 'notice') return hearNotice(hearing);
     if (hearing.kind === 'stale' && hearing.newer !== undefined) {
-      options.learn(service, hearing.newer);
+      options.learnSet(service, hearing.newer);
     }
     ballots[index] = toBallot(hearing);
     count();
@@ -141,7 +141,7 @@
     members.forEach((member, index) => {
       if (ballots[index] !== undefined) return;
       ballots[index] = {kind: 'unreachable'};
-      peers.drop(member);
+      peers.disconnect(member);
     });
     count();
   }
@@ -178,7 +178,7 @@
   return Math.ceil(milliseconds / 1000);
 }
 
-function toBallot(hearing: Hearing): Ballot {
+function toBallot(hearing: KeeperResponse): Ballot {
   switch (hearing.kind) {
     case 'notice':
     case 'sealed':
--- a/src/claims/create-claims.test.ts
+++ b/src/claims/create-claims.test.ts
@@ -152,7 +152,7 @@
   await cluster.timers.advanceAsync(55_000);
   t.is(await resolve(cluster, cluster.submit(gate, 'key')), 'answered');
   await cluster.timers.advanceAsync(61_000);
-  t.is(cluster.keepers.get('k1')!.part.size, 0);
+  t.is(cluster.keepers.get('k1')!.keeper.size, 0);
 });
 
 /**
--- a/src/claims/create-claims.ts
+++ b/src/claims/create-claims.ts
@@ -9,11 +9,11 @@
 import {Claims} from './claims.js';
 import type {Acquisition, ClaimRequest} from './claims.js';
 import {claimCodes} from './codes.js';
-import {createKeeperPeers} from './peers.js';
-import {createSettler} from './settler.js';
-import {refuse} from './step.js';
-import type {Step} from './step.js';
-import {majorityOf} from './verdict.js';
+import {createKeeperClient} from './keeper-client.js';
+import {createSettlementSender} from './settlement-sender.js';
+import {refuse} from './attempt-result.js';
+import type {AttemptResult} from './attempt-result.js';
+import {majorityOf} from './vote-count.js';
 
 /** What the gate's side is made of. */
 export interface ClaimsOptions {
@@ -48,7 +48,7 @@
 export function createClaims(options: ClaimsOptions): KeeperClaims {
   const {timers} = options;
   const log = options.log.scope('claims');
-  const peers = createKeeperPeers(options.network, timers);
+  const peers = createKeeperClient(options.network, timers);
   /** Sets that keepers told of before the configuration did. */
   const learned = new Map<string, KeeperAssignment>();
   let lastClaim = 0;
@@ -68,23 +68,23 @@
   }
 
   const members = (service: string) => assignmentOf(service)?.members ?? [];
-  const settler = createSettler({peers, timers, members});
+  const settler = createSettlementSender({keeperClient: peers, timers, members});
   const attempts: AttemptOptions = {
-    peers,
-    settler,
+    keeperClient: peers,
+    settlementSender: settler,
     timers,
     random: options.random,
     voteTimeout: options.voteTimeout ?? defaultVoteTimeout,
     answerLimit: options.answerLimit ?? defaultAnswerLimit,
     votesNeeded: options.votesNeeded ?? majorityOf,
-    learn,
+    learnSet: learn,
   };
 
   function createCandidate(): Candidate {
-    return {claim: `${options.self}/${++lastClaim}`, asked: new Set()};
+    return {claim: `${options.self}/${++lastClaim}`, contacted: new Set()};
   }
 
-  function attempt(request: ClaimRequest, candidate: Candidate): Promise<Step> {
+  function attempt(request: ClaimRequest, candidate: Candidate): Promise<AttemptResult> {
     const assignment = assignmentOf(request.service);
     if (assignment === undefined || timers.now() >= request.deadline) {
       return Promise.resolve(giveUp(request, candidate));
@@ -92,12 +92,12 @@
     return runAttempt(attempts, request, assignment, candidate);
   }
 
-  function giveUp(request: ClaimRequest, {claim, asked}: Candidate): Step {
+  function giveUp(request: ClaimRequest, {claim, contacted: asked}: Candidate): AttemptResult {
     const {service, key, fingerprint} = request;
     const settlement = {kind: 'released'} as const;
     const work = {service, key, fingerprint, claim};
     if (asked.size > 0) {
-      settler.tell({kind: 'settle', settlement, ...work}, [...asked]);
+      settler.send({kind: 'settle', settlement, ...work}, [...asked]);
     }
     return refuse(claimCodes.keepersUnavailable);
   }
--- a/src/claims/fakes/claim-cluster.ts
+++ b/src/claims/fakes/claim-cluster.ts
@@ -15,10 +15,10 @@
 import type {KeeperClaims} from '../create-claims.js';
 import {createKeeper} from '../keeper.js';
 import type {ClaimKeeper} from '../keeper.js';
-import type {KeeperSafeguards} from '../tenure.js';
+import type {KeeperSafeguards} from '../service-claims.js';
 
 /** What a gate does with a claim that it won. */
-export type Course =
+export type GateBehavior =
   | 'answer'
   | 'die-before-run'
   | 'die-during-run'
@@ -44,9 +44,9 @@
 }
 
 /** One keeper's life. */
-export interface KeeperLife {
+export interface RunningKeeper {
   readonly identity: Keeper;
-  readonly part: ClaimKeeper;
+  readonly keeper: ClaimKeeper;
 }
 
 export interface ClaimCluster {
@@ -55,7 +55,7 @@
   readonly random: Random;
   /** Times that work began, by key. */
   readonly runs: Map<string, number>;
-  readonly keepers: Map<string, KeeperLife>;
+  readonly keepers: Map<string, RunningKeeper>;
   /** Starts a node's keeper, as a new life if it ran before. */
   startKeeper(instance: string): Promise<Keeper>;
   killKeeper(instance: string): void;
@@ -67,7 +67,7 @@
   submit(
     gate: Gate,
     key: string,
-    course?: Course,
+    course?: GateBehavior,
     request?: {fingerprint?: string; timeout?: number; work?: number},
   ): Promise<Acquisition>;
 }
@@ -83,7 +83,7 @@
   const random = createRandom(options.seed ?? 1);
   const log = createSilentLog();
   const runs = new Map<string, number>();
-  const keepers = new Map<string, KeeperLife>();
+  const keepers = new Map<string, RunningKeeper>();
   const gates = new Set<Gate>();
   let lives = 0;
   let latest: KeeperAssignment | undefined;
@@ -107,7 +107,7 @@
       },
       safeguards: options.keeperSafeguards,
     });
-    keepers.set(instance, {identity, part});
+    keepers.set(instance, {identity, keeper: part});
     if (latest !== undefined) part.assign(service, latest);
     return identity;
   }
@@ -116,7 +116,7 @@
     const life = keepers.get(instance);
     keepers.delete(instance);
     network.kill(instance);
-    void life?.part.stop();
+    void life?.keeper.stop();
   }
 
   function startGate(name: string): Gate {
@@ -145,7 +145,7 @@
     gate.claims.stop();
   }
 
-  function finish(gate: Gate, course: Course, claim: Granted): void {
+  function finish(gate: Gate, course: GateBehavior, claim: Granted): void {
     const answer = {status: 200, headers: [], body: Buffer.from('booked')};
     if (course === 'die-during-run') return killGate(gate);
     if (course === 'lose-answer') return claim.abandon();
@@ -156,7 +156,7 @@
   async function submit(
     gate: Gate,
     key: string,
-    course: Course = 'answer',
+    course: GateBehavior = 'answer',
     {
       fingerprint = 'order',
       timeout = defaultTimeout,
@@ -197,7 +197,7 @@
       const isTold = (name: string) => names?.includes(name) ?? true;
       if ((latest?.epoch ?? 0) < assignment.epoch) latest = assignment;
       for (const [name, life] of keepers) {
-        if (isTold(name)) life.part.assign(service, assignment);
+        if (isTold(name)) life.keeper.assign(service, assignment);
       }
       for (const gate of gates) {
         if (isTold(gate.name)) gate.assignment = assignment;
--- a/src/claims/succession.ts
+++ b/src/claims/handover.ts
@@ -6,20 +6,20 @@
 } from '../configuration/configuration.js';
 import type {Subscription, Timers} from '../time/timers.js';
 import type {ClaimRecord, SealedPage} from './messages.js';
-import type {Hearing, KeeperPeers} from './peers.js';
-import {majorityOf} from './verdict.js';
+import type {KeeperResponse, KeeperClient} from './keeper-client.js';
+import {majorityOf} from './vote-count.js';
 
 /** What one sealed keeper was. */
 export type SealedState = Pick<SealedPage, 'active' | 'quarantine'>;
 
 /** What a succession is made of. */
-export interface SuccessionOptions {
+export interface HandoverOptions {
   readonly service: string;
   readonly previous: KeeperSet;
   readonly successor: KeeperAssignment;
   /** This keeper's own state in the previous set; undefined for no member. */
-  own(member: Keeper): SealedState | undefined;
-  readonly peers: KeeperPeers;
+  ownState(member: Keeper): SealedState | undefined;
+  readonly keeperClient: KeeperClient;
   readonly timers: Timers;
   /** Test only: whether one of the sealed must have been active. */
   readonly needsActive: boolean;
@@ -29,7 +29,7 @@
   done(quarantine: number): void;
 }
 
-interface Handover extends SealedState {
+interface Predecessor extends SealedState {
   readonly member: Keeper;
   readonly isAsked: boolean;
   readonly whole: boolean;
@@ -41,20 +41,20 @@
 const patience = 300;
 
 /** Begins; cancelling stops it. */
-export function startSuccession(options: SuccessionOptions): Subscription {
-  const {service, previous, successor, peers, timers} = options;
+export function startHandover(options: HandoverOptions): Subscription {
+  const {service, previous, successor, keeperClient: peers, timers} = options;
   const subscriptions: Subscription[] = [];
   const needed = majorityOf(previous.members.length);
   let isDone = false;
 
-  const handovers: Handover[] = orderByStay(previous, successor).map(member => {
-    const own = options.own(member);
+  const handovers: Predecessor[] = orderByStay(previous, successor).map(member => {
+    const own = options.ownState(member);
     const whole = own !== undefined;
     const state = own ?? {active: false, quarantine: 0};
     return {member, isAsked: whole, whole, ...state};
   });
 
-  function update(index: number, change: Partial<Handover>): void {
+  function update(index: number, change: Partial<Predecessor>): void {
     handovers[index] = {...handovers[index]!, ...change};
   }
 
@@ -74,7 +74,7 @@
     options.done(Math.max(...whole.map(({quarantine}) => quarantine)));
   }
 
-  function hear(index: number, hearing: Hearing): void {
+  function hear(index: number, hearing: KeeperResponse): void {
     if (isDone || handovers[index]!.whole) return;
     if (hearing.kind === 'sealed') {
       const {active, quarantine, last} = hearing;
--- a/src/claims/interleavings.test.ts
+++ b/src/claims/interleavings.test.ts
@@ -6,12 +6,12 @@
 import type {
   ClaimCluster,
   ClusterOptions,
-  Course,
+  GateBehavior,
   Gate,
 } from './fakes/claim-cluster.js';
 
 const names = ['k1', 'k2', 'k3', 'k4', 'k5'];
-const courses: Course[] = [
+const courses: GateBehavior[] = [
   'answer',
   'answer',
   'die-before-run',
--- a/src/claims/peers.ts
+++ b/src/claims/keeper-client.ts
@@ -5,10 +5,10 @@
 import type {Question, Reply, ReplyEnvelope} from './messages.js';
 
 /** What an asker hears: replies, or that none will come. */
-export type Hearing = Reply | {readonly kind: 'unreachable'};
+export type KeeperResponse = Reply | {readonly kind: 'unreachable'};
 
 /** Asks keepers; one link per keeper, however many questions. */
-export interface KeeperPeers {
+export interface KeeperClient {
   /**
    * Sends a question. `receive` may be called more than once, until cancelled;
    * after `unreachable` it is not called again.
@@ -16,10 +16,10 @@
   ask(
     keeper: Keeper,
     question: Question,
-    receive: (hearing: Hearing) => void,
+    receive: (hearing: KeeperResponse) => void,
   ): Subscription;
   /** Closes the link to a keeper that does not answer. */
-  drop(keeper: Keeper): void;
+  disconnect(keeper: Keeper): void;
   stop(): void;
 }
 
@@ -28,17 +28,17 @@
   /** Until when no new connection is tried. */
   restUntil: number;
   unsent: Array<(link: Link) => void>;
-  readonly asked: Map<number, (hearing: Hearing) => void>;
+  readonly asked: Map<number, (hearing: KeeperResponse) => void>;
 }
 
 /** Milliseconds after a failed connection in which questions fail at once. */
 const rest = 200;
 
 /** Creates the links of one process to keepers. */
-export function createKeeperPeers(
+export function createKeeperClient(
   network: Network,
   timers: Timers,
-): KeeperPeers {
+): KeeperClient {
   const peers = new Map<Address, Peer>();
   let lastId = 0;
   let stopped = false;
@@ -104,7 +104,7 @@
       send(keeper.address, peer, {id, incarnation, question});
       return {cancel: () => void peer.asked.delete(id)};
     },
-    drop(keeper) {
+    disconnect(keeper) {
       const peer = peers.get(keeper.address);
       const link = peer?.link;
       if (peer === undefined || link === undefined) return;
--- a/src/claims/keeper.ts
+++ b/src/claims/keeper.ts
@@ -6,9 +6,9 @@
 import {createClaimTable} from './claim-table.js';
 import type {ClaimLimits} from './claim-table.js';
 import type {ClaimRecord, Envelope, Question, Reply} from './messages.js';
-import {createKeeperPeers} from './peers.js';
-import {allKeeperSafeguards, createTenure, isSameLife} from './tenure.js';
-import type {KeeperSafeguards, Sealed, Tenure} from './tenure.js';
+import {createKeeperClient} from './keeper-client.js';
+import {allKeeperSafeguards, createServiceClaims, isSameIncarnation} from './service-claims.js';
+import type {KeeperSafeguards, SealedClaims, ServiceClaims} from './service-claims.js';
 
 /** What a keeper is made of. */
 export interface KeeperOptions {
@@ -51,18 +51,18 @@
   const {self, network, timers, limits} = options;
   const log = options.log.scope('keeper');
   const safeguards = {...allKeeperSafeguards, ...options.safeguards};
-  const peers = createKeeperPeers(network, timers);
-  const tenures = new Map<string, Tenure>();
+  const peers = createKeeperClient(network, timers);
+  const tenures = new Map<string, ServiceClaims>();
   const links = new Set<Link>();
 
-  function find(service: string): Tenure {
+  function find(service: string): ServiceClaims {
     let tenure = tenures.get(service);
     if (tenure === undefined) {
       const createTable = () => createClaimTable(timers, limits);
-      tenure = createTenure({
+      tenure = createServiceClaims({
         service,
         self,
-        peers,
+        keeperClient: peers,
         timers,
         createTable,
         retention: limits.retention,
@@ -73,7 +73,7 @@
     return tenure;
   }
 
-  function sendPages(sealed: Sealed, reply: (reply: Reply) => void): void {
+  function sendPages(sealed: SealedClaims, reply: (reply: Reply) => void): void {
     const {active, quarantine} = sealed;
     const records = sealed.records[Symbol.iterator]();
 
@@ -106,7 +106,7 @@
           reply,
         );
       case 'inquire':
-        return reply(tenure.standing());
+        return reply(tenure.status());
     }
   }
 
@@ -128,7 +128,7 @@
   function sweep(): void {
     for (const [service, tenure] of tenures) {
       tenure.sweep();
-      if (!tenure.isForgettable()) continue;
+      if (!tenure.isRemovable()) continue;
       tenure.stop();
       tenures.delete(service);
     }
@@ -142,13 +142,13 @@
 
   return {
     assign(service, assignment) {
-      const isMember = assignment.members.some(one => isSameLife(one, self));
+      const isMember = assignment.members.some(one => isSameIncarnation(one, self));
       const mayBeMember = isMember || !safeguards.incarnation;
       if (!mayBeMember && !tenures.has(service)) return;
       const tenure = find(service);
-      const before = tenure.standing().epoch;
+      const before = tenure.status().epoch;
       tenure.adopt(assignment);
-      if (tenure.standing().epoch === before) return;
+      if (tenure.status().epoch === before) return;
       log.info('keeper set adopted', {service, epoch: assignment.epoch});
     },
     async leave(limit) {
--- a/src/claims/messages.ts
+++ b/src/claims/messages.ts
@@ -122,7 +122,7 @@
 }
 
 /** How far a keeper is with a service. */
-export interface Standing {
+export interface KeeperStatus {
   readonly kind: 'standing';
   readonly epoch: number;
   readonly active: boolean;
@@ -133,7 +133,7 @@
   | Vote
   | Notice
   | SealedPage
-  | Standing
+  | KeeperStatus
   | {readonly kind: 'settled'}
   | {readonly kind: 'stranger'};
 
--- a/src/claims/tenure.test.ts
+++ b/src/claims/service-claims.test.ts
@@ -80,7 +80,7 @@
   const second = replaceMember(cluster.first, 'k1', again);
   cluster.assign(second);
   await cluster.timers.advanceAsync(500);
-  t.is(cluster.keepers.get('k1')!.part.size, 1);
+  t.is(cluster.keepers.get('k1')!.keeper.size, 1);
   // k1 and k2 are a majority of the new set: k3 may now fail.
   cluster.killKeeper('k3');
   t.is(await ask(cluster, 'b'), 'answered');
@@ -170,7 +170,7 @@
   const fresh = await cluster.startKeeper('k4');
   cluster.assign(replaceMember(cluster.first, 'k1', fresh));
   await cluster.timers.advanceAsync(500);
-  t.is(cluster.keepers.get('k4')!.part.size, 600);
+  t.is(cluster.keepers.get('k4')!.keeper.size, 600);
 });
 
 // What the caller sees: keyed work refused during a partition that cuts only
@@ -187,7 +187,7 @@
   const booked = cluster.submit(gate, 'key');
   await cluster.timers.advanceAsync(500);
   t.is((await booked).kind, 'granted');
-  t.is(cluster.keepers.get('k4')!.part.size, 1);
+  t.is(cluster.keepers.get('k4')!.keeper.size, 1);
 });
 
 /**
--- a/src/claims/tenure.ts
+++ b/src/claims/service-claims.ts
@@ -19,11 +19,11 @@
   ClaimRecord,
   SealedPage,
   Settle,
-  Standing,
+  KeeperStatus,
   Vote,
 } from './messages.js';
-import type {KeeperPeers} from './peers.js';
-import {startSuccession} from './succession.js';
+import type {KeeperClient} from './keeper-client.js';
+import {startHandover} from './handover.js';
 
 /** Where a keeper is with one service. */
 type Stage = 'idle' | 'syncing' | 'quarantined' | 'active' | 'sealed';
@@ -68,10 +68,10 @@
 };
 
 /** What a tenure is made of. */
-export interface TenureOptions {
+export interface ServiceClaimsOptions {
   readonly service: string;
   readonly self: Keeper;
-  readonly peers: KeeperPeers;
+  readonly keeperClient: KeeperClient;
   readonly timers: Timers;
   readonly createTable: () => ClaimTable;
   /** Milliseconds for which a former member can still be asked. */
@@ -80,31 +80,31 @@
 }
 
 /** One service's claims at one keeper. */
-export interface Tenure {
+export interface ServiceClaims {
   adopt(assignment: KeeperAssignment): void;
   vote(acquire: Acquire, watcher: Watcher): Vote;
   /** False when the keeper holds no claims of the service. */
   settle(settle: Settle): boolean;
   /** Ends an epoch here and gives its claims. */
-  seal(epoch: number, successor: KeeperAssignment): Sealed;
-  standing(): Standing;
+  seal(epoch: number, successor: KeeperAssignment): SealedClaims;
+  status(): KeeperStatus;
   sweep(): void;
   stop(): void;
   /** Whether it is, or is becoming, one of the service's keepers. */
   isMember(): boolean;
   /** Whether it is no member and nothing is lost by forgetting it. */
-  isForgettable(): boolean;
+  isRemovable(): boolean;
   readonly size: number;
 }
 
 /** What a sealed keeper hands over. */
-export interface Sealed extends Pick<SealedPage, 'active' | 'quarantine'> {
+export interface SealedClaims extends Pick<SealedPage, 'active' | 'quarantine'> {
   readonly records: Iterable<ClaimRecord>;
 }
 
 /** Creates the tenure of a service in which the keeper holds nothing yet. */
-export function createTenure(options: TenureOptions): Tenure {
-  const {service, self, peers, timers, safeguards} = options;
+export function createServiceClaims(options: ServiceClaimsOptions): ServiceClaims {
+  const {service, self, keeperClient: peers, timers, safeguards} = options;
   const actor = interpret(machine, () => {});
   const table = options.createTable();
   let epoch = 0;
@@ -119,7 +119,7 @@
   let asked: Subscription[] = [];
 
   function isSelf(member: Keeper): boolean {
-    if (safeguards.incarnation) return isSameLife(member, self);
+    if (safeguards.incarnation) return isSameIncarnation(member, self);
     return member.address === self.address;
   }
 
@@ -147,12 +147,12 @@
       active: activeEpoch >= previous.epoch,
       quarantine: quarantineLeft(),
     });
-    const succession = startSuccession({
+    const succession = startHandover({
       service,
       previous,
       successor,
-      own: member => (isSelf(member) ? own() : undefined),
-      peers,
+      ownState: member => (isSelf(member) ? own() : undefined),
+      keeperClient: peers,
       timers,
       needsActive: safeguards.active,
       merge: records => table.merge(records),
@@ -216,14 +216,14 @@
       if (safeguards.seal) adopt(successor);
       return given;
     },
-    standing() {
+    status() {
       const isHolding = stage() === 'active' || stage() === 'quarantined';
       return {kind: 'standing', epoch, active: isHolding};
     },
     sweep: () => table.sweep(),
     stop: cancelAsked,
     isMember: () => epoch > 0 && leftAt === undefined,
-    isForgettable() {
+    isRemovable() {
       // A promise not to vote in an epoch that is yet to be learned of must
       // not be forgotten: the keeper would become active in it after all.
       if (leftAt === undefined || sealedEpoch > epoch) return false;
@@ -240,7 +240,7 @@
  * part of it: the upstream may choose it after the keeper has begun, and a
  * keeper that did not know itself in its set would never vote.
  */
-export function isSameLife(left: Keeper, right: Keeper): boolean {
+export function isSameIncarnation(left: Keeper, right: Keeper): boolean {
   if (left.address !== right.address) return false;
   return left.incarnation === right.incarnation;
 }
--- a/src/claims/settler.ts
+++ b/src/claims/settlement-sender.ts
@@ -2,20 +2,20 @@
 import type {Keeper} from '../configuration/configuration.js';
 import type {Timers} from '../time/timers.js';
 import type {Settle} from './messages.js';
-import type {KeeperPeers} from './peers.js';
+import type {KeeperClient} from './keeper-client.js';
 
 /** What a settler is made of. */
-export interface SettlerOptions {
-  readonly peers: KeeperPeers;
+export interface SettlementSenderOptions {
+  readonly keeperClient: KeeperClient;
   readonly timers: Timers;
   /** The service's keepers now, who may have taken over from those asked. */
   readonly members: (service: string) => readonly Keeper[];
 }
 
 /** Tells keepers how claims ended. */
-export interface Settler {
+export interface SettlementSender {
   /** Begins to tell those that were asked, and whoever follows them. */
-  tell(settle: Settle, asked: readonly Keeper[]): void;
+  send(settle: Settle, asked: readonly Keeper[]): void;
 }
 
 /** Milliseconds until a settlement is told again; doubled at each try. */
@@ -25,8 +25,8 @@
 const lastReleasePause = 2000;
 
 /** Creates a settler. */
-export function createSettler(options: SettlerOptions): Settler {
-  const {peers, timers, members} = options;
+export function createSettlementSender(options: SettlementSenderOptions): SettlementSender {
+  const {keeperClient: peers, timers, members} = options;
 
   function tellAll(settle: Settle, asked: readonly Keeper[]): void {
     const isRelease = settle.settlement.kind === 'released';
@@ -53,7 +53,7 @@
     round(firstPause);
   }
 
-  return {tell: tellAll};
+  return {send: tellAll};
 }
 
 function nameOf({address, incarnation}: Keeper): string {
--- a/src/claims/verdict.ts
+++ b/src/claims/vote-count.ts
@@ -13,7 +13,7 @@
  * - `stale`: the keepers are between two epochs, or the gate is behind.
  * - `lost`, `full`, `unavailable`: too few keepers can vote.
  */
-export type Verdict =
+export type VoteOutcome =
   | {readonly kind: 'pending' | 'won' | 'wait' | 'unknown' | 'stale'}
   | {readonly kind: 'full' | 'unavailable'}
   | {readonly kind: 'lost'; readonly left: number}
@@ -25,10 +25,10 @@
 }
 
 /** Judges the votes; an undefined one has not come yet. */
-export function judge(
+export function countVotes(
   ballots: ReadonlyArray<Ballot | undefined>,
   majority = majorityOf(ballots.length),
-): Verdict {
+): VoteOutcome {
   const found = ballots.find(isDecisive);
   if (found !== undefined) return {kind: 'found', vote: found as Vote};
   const count = (kind: Ballot['kind']) =>
--- a/src/configuration/answer-table.test.ts
+++ b/src/configuration/answer-table.test.ts
@@ -6,8 +6,8 @@
   ConfigurationMachine,
   MachineSafeguards,
 } from './create-configuration-machine.js';
-import {decodeAnswer} from './entry.js';
-import {createSample, createSampleMachine, putService} from './fakes/sample.js';
+import {decodeAnswer} from './log-entry.js';
+import {createLoggedMachine, createSampleMachine, putService} from './fakes/sample.js';
 import type {Answer, Command} from './messages.js';
 
 const names = ['control-1', 'control-2', 'control-3'];
@@ -116,7 +116,7 @@
 // later changes replaced. The operator's floor refuses it by its own code.
 test('a resend older than the table is refused and never run again', t => {
   const resend = (safeguards: Partial<MachineSafeguards>) => {
-    const {send, machine} = createSample({answers: 2}, safeguards);
+    const {send, machine} = createLoggedMachine({answers: 2}, safeguards);
     for (let sequence = 1; sequence <= 4; sequence++) send(command(sequence));
     const answer = send(command(1));
     return {answer, machine};
@@ -135,7 +135,7 @@
 // 3 would look like that of a new operator and run again. The floor of those
 // dropped holds for every operator that is not in the table.
 test('a resend of an operator who was dropped is never run again', t => {
-  const {send, machine} = createSample({operators: 2});
+  const {send, machine} = createLoggedMachine({operators: 2});
   send(command(3));
   for (const operator of ['daulet', 'salim', 'aigul']) {
     const edits = [putService(operator)];
@@ -152,13 +152,13 @@
 // with the first's answer would say that it was accepted though it never ran.
 test('an id that names another command is refused', t => {
   const other = {...command(1), edits: [putService('drillvault')]};
-  const {send, machine} = createSample();
+  const {send, machine} = createLoggedMachine();
   send(command(1));
   const refused = send(other);
   t.is(refused.code, codes.sequenceReused.number);
   t.is(send(command(1)).code, 1000);
 
-  const without = createSample({}, {fingerprint: false});
+  const without = createLoggedMachine({}, {fingerprint: false});
   without.send(command(1));
   t.is(without.send(other).code, 1000);
   t.false(without.machine.current().services.has('drillvault'));
@@ -166,7 +166,7 @@
 });
 
 test('commands of one operator may arrive out of order', t => {
-  const {send} = createSample({answers: 3});
+  const {send} = createLoggedMachine({answers: 3});
   t.is(send(command(5)).code, 1000);
   t.is(send(command(4)).code, 1000);
   t.is(send(command(4)).version, 2);
@@ -174,7 +174,7 @@
 });
 
 test('refusals are first answers too', t => {
-  const {send, edit} = createSample();
+  const {send, edit} = createLoggedMachine();
   const removal = {action: 'remove', kind: 'service', name: 'a'} as const;
   const late = {operator: 'daulet', sequence: 1, edits: [removal]};
   t.is(send(late).code, codes.notFound.number);
@@ -184,7 +184,7 @@
 
 /** Growth of the snapshot from 100 to 300 changes by 37 operators. */
 function growth(operators: number, answers: number, history: number): number {
-  const {send, machine} = createSample({operators, answers, history});
+  const {send, machine} = createLoggedMachine({operators, answers, history});
   const sizes: number[] = [];
   for (let round = 1; round <= 300; round++) {
     const operator = `operator-${100 + (round % 37)}`;
--- a/src/configuration/answer-table.ts
+++ b/src/configuration/answer-table.ts
@@ -5,7 +5,7 @@
 import type {Answer, Command} from './messages.js';
 
 /** The first answer to one command. */
-export interface Recorded {
+export interface RecordedAnswer {
   readonly sequence: number;
   /** Digest of what the command asked for. */
   readonly fingerprint: string;
@@ -18,7 +18,7 @@
   /** Sequences up to this one are never run, whether they ran or not. */
   readonly floor: number;
   /** In the order of their sequences. */
-  readonly recorded: readonly Recorded[];
+  readonly recorded: readonly RecordedAnswer[];
 }
 
 /** The whole table, as snapshots hold it. */
@@ -59,7 +59,7 @@
 
 interface Mutable {
   floor: number;
-  recorded: Recorded[];
+  recorded: RecordedAnswer[];
 }
 
 const packr = new Packr({useRecords: false});
@@ -135,7 +135,7 @@
 }
 
 /** Keeps the list in the order of sequences; most go to its end. */
-function insert(recorded: Recorded[], entry: Recorded): void {
+function insert(recorded: RecordedAnswer[], entry: RecordedAnswer): void {
   let at = recorded.length;
   while (at > 0 && recorded[at - 1]!.sequence > entry.sequence) at--;
   recorded.splice(at, 0, entry);
--- a/src/configuration/packing.ts
+++ b/src/configuration/compression.ts
@@ -14,13 +14,13 @@
 const marker = 0xc1;
 
 /** Packs bytes where that pays. */
-export function pack(bytes: Uint8Array): Uint8Array {
+export function compress(bytes: Uint8Array): Uint8Array {
   if (bytes.length < packedFrom) return bytes;
   return Buffer.concat([Buffer.of(marker), deflateRawSync(bytes, {level})]);
 }
 
 /** The bytes before `pack`; those that were never packed come back as they are. */
-export function unpack(bytes: Uint8Array): Uint8Array {
+export function decompress(bytes: Uint8Array): Uint8Array {
   if (bytes[0] !== marker) return bytes;
   return inflateRawSync(bytes.subarray(1), {maxOutputLength: unpackedLimit});
 }
--- a/src/configuration/create-configuration-machine.test.ts
+++ b/src/configuration/create-configuration-machine.test.ts
@@ -2,14 +2,14 @@
 import {commonCodes} from '../result/codes.js';
 import {configurationCodes as codes} from './codes.js';
 import {
-  createSample,
+  createLoggedMachine,
   createSampleMachine,
   putDrain,
   putPolicy,
   putRoute,
   putService,
 } from './fakes/sample.js';
-import {decodeAnswer} from './entry.js';
+import {decodeAnswer} from './log-entry.js';
 
 const whole = [
   putService('stock-desk'),
@@ -18,7 +18,7 @@
 ];
 
 test('a change makes the version of its log index, and no change makes none', t => {
-  const {machine, edit} = createSample();
+  const {machine, edit} = createLoggedMachine();
   t.is(edit(whole).version, 1);
   const again = edit(whole);
   t.is(again.code, commonCodes.ok.number);
@@ -32,7 +32,7 @@
 });
 
 test('a configuration in hand does not change under its holder', t => {
-  const {machine, edit} = createSample();
+  const {machine, edit} = createLoggedMachine();
   edit(whole);
   const before = machine.current();
   edit([putService('parts-files')]);
@@ -47,7 +47,7 @@
 // the check the change is accepted and the route is left dangling.
 test('a route never points at a missing service or policy', t => {
   const missingService = [putRoute('stock', 'stock-desk', 'lookups')];
-  const {edit, machine} = createSample();
+  const {edit, machine} = createLoggedMachine();
   edit([putPolicy('lookups')]);
   const refused = edit(missingService);
   t.is(refused.code, codes.missingReference.number);
@@ -59,14 +59,14 @@
     /policy gone/,
   );
 
-  const without = createSample({}, {validation: false});
+  const without = createLoggedMachine({}, {validation: false});
   t.is(without.edit(missingService).code, 1000);
   const [route] = without.machine.current().routes.values();
   t.false(without.machine.current().services.has(route!.service));
 });
 
 test('what is still referred to is not removed, unless in the same change', t => {
-  const {edit, machine} = createSample();
+  const {edit, machine} = createLoggedMachine();
   edit([...whole, putDrain('stock-desk-1', 'stock-desk')]);
   const removal = {action: 'remove', kind: 'service', name: 'stock-desk'};
   const refused = edit([removal as never]);
@@ -82,7 +82,7 @@
 });
 
 test('a change with one bad edit changes nothing at all', t => {
-  const {edit, machine} = createSample();
+  const {edit, machine} = createLoggedMachine();
   edit(whole);
   const digest = machine.current();
   const refused = edit([
@@ -97,7 +97,7 @@
 });
 
 test('two routes never take the same requests', t => {
-  const {edit} = createSample();
+  const {edit} = createLoggedMachine();
   edit(whole);
   const put = (name: string, methods: string[]) =>
     edit([putRoute(name, 'stock-desk', 'lookups', '/stock', methods)]).code;
@@ -108,7 +108,7 @@
 });
 
 test('counts are bounded by what the entry carries', t => {
-  const {edit} = createSample({services: 2});
+  const {edit} = createLoggedMachine({services: 2});
   t.is(edit([putService('a'), putService('b')]).code, 1000);
   const refused = edit([putService('c')]);
   t.is(refused.code, codes.limitExceeded.number);
@@ -134,7 +134,7 @@
 });
 
 test('bytes that are no entry change nothing and stop nothing', t => {
-  const {machine, edit} = createSample();
+  const {machine, edit} = createLoggedMachine();
   edit(whole);
   const before = machine.digest();
   const entries = [new Uint8Array(), Buffer.from('x'), Buffer.from([0xc1])];
@@ -146,7 +146,7 @@
 });
 
 test('history keeps the last changes, newest first', t => {
-  const {machine, edit} = createSample({history: 2});
+  const {machine, edit} = createLoggedMachine({history: 2});
   edit(whole, 'amina');
   edit([putService('a')], 'daulet');
   edit([putService('b')], 'daulet');
@@ -156,7 +156,7 @@
 });
 
 test('observers hear of each change and of a restored snapshot', t => {
-  const {machine, edit} = createSample();
+  const {machine, edit} = createLoggedMachine();
   const heard: number[] = [];
   machine.onChange(version => heard.push(version));
   edit(whole);
--- a/src/configuration/fakes/sample.ts
+++ b/src/configuration/fakes/sample.ts
@@ -3,7 +3,7 @@
 import {createConfigurationMachine} from '../create-configuration-machine.js';
 import type {MachineSafeguards} from '../create-configuration-machine.js';
 import type {Limits} from '../limits.js';
-import {decodeAnswer} from '../entry.js';
+import {decodeAnswer} from '../log-entry.js';
 import type {Answer, Command, Edit} from '../messages.js';
 
 /** Short ways to edits and machines, for tests and benches. */
@@ -55,7 +55,7 @@
 }
 
 /** A machine under a log of its own that grows by each command. */
-export interface Sample {
+export interface LoggedMachine {
   readonly machine: ConfigurationMachine;
   readonly log: readonly Uint8Array[];
   /** Applies the next entry. */
@@ -65,10 +65,10 @@
 }
 
 /** Creates a machine with a log. */
-export function createSample(
+export function createLoggedMachine(
   limits: Partial<Limits> = {},
   safeguards: Partial<MachineSafeguards> = {},
-): Sample {
+): LoggedMachine {
   const machine = createSampleMachine(limits, safeguards);
   const log: Uint8Array[] = [];
   let sequence = 0;
--- a/src/configuration/logged-revisions.test.ts
+++ b/src/configuration/logged-revisions.test.ts
@@ -3,8 +3,8 @@
 import type {Failure} from '../result/failure.js';
 import {configurationCodes as codes} from './codes.js';
 import type {Item} from './configuration.js';
-import {decodeAnswer, decodeEntry, encodeEntry} from './entry.js';
-import type {ReplacementEntry} from './entry.js';
+import {decodeAnswer, decodeEntry, encodeEntry} from './log-entry.js';
+import type {ReplacementEntry} from './log-entry.js';
 import {
   createSampleMachine,
   putPolicy,
--- a/src/configuration/snapshot.test.ts
+++ b/src/configuration/snapshot.test.ts
@@ -2,7 +2,7 @@
 import {createRandom} from '../random/random.js';
 import type {Random} from '../random/random.js';
 import {
-  createSample,
+  createLoggedMachine,
   createSampleMachine,
   putDrain,
   putPolicy,
@@ -47,7 +47,7 @@
 // only when it leads, as a change accepted twice or refused wrongly.
 test('a snapshot and the tail give the same digest as the whole log', t => {
   const random = createRandom(7);
-  const {machine, log, send} = createSample(limits);
+  const {machine, log, send} = createLoggedMachine(limits);
   const snapshots = new Map<number, Uint8Array>();
   const codes = new Set<number>();
   for (let round = 1; round <= 400; round++) {
@@ -68,9 +68,9 @@
 });
 
 test('a restored machine checks references as before', t => {
-  const {machine, edit} = createSample();
+  const {machine, edit} = createLoggedMachine();
   edit([putService('a'), putPolicy('p'), putRoute('r', 'a', 'p', '/r')]);
-  const restored = createSample();
+  const restored = createLoggedMachine();
   restored.machine.restore(1, machine.snapshot());
   const removal = {action: 'remove', kind: 'service', name: 'a'} as const;
   t.regex(restored.edit([removal], 'salim').message, /used by route r/);
@@ -79,7 +79,7 @@
 });
 
 test('a snapshot of another format leaves the state as it was', t => {
-  const {machine, edit} = createSample();
+  const {machine, edit} = createLoggedMachine();
   edit([putService('a')]);
   const digest = machine.digest();
   t.throws(() => machine.restore(9, Buffer.from([0x80])), {
--- a/src/configuration/system-name.test.ts
+++ b/src/configuration/system-name.test.ts
@@ -1,11 +1,11 @@
 import test from 'ava';
 import {checkLimits} from '../operator/limits.js';
 import {defaults} from '../settings/defaults.js';
-import {appointerName} from './system-name.js';
+import {keeperAssignerName} from './system-name.js';
 import {configurationCodes} from './codes.js';
 import type {Service} from './configuration.js';
-import {decodeAnswer} from './entry.js';
-import {createSample, createSampleMachine, putService} from './fakes/sample.js';
+import {decodeAnswer} from './log-entry.js';
+import {createLoggedMachine, createSampleMachine, putService} from './fakes/sample.js';
 
 const keepers = {
   epoch: 2,
@@ -19,11 +19,11 @@
 }
 
 test('keepers are put by the appointer and kept by operators', t => {
-  const sample = createSample();
+  const sample = createLoggedMachine();
   const current = () => sample.machine.current().services.get('stock-desk');
   sample.edit([putService('stock-desk')]);
   const value = {name: 'stock-desk', slowStart: 0, keepers};
-  sample.edit([putKeepers(value)], appointerName('control-1'));
+  sample.edit([putKeepers(value)], keeperAssignerName('control-1'));
   t.deepEqual(current()!.keepers, keepers);
   sample.edit([putService('stock-desk', 500)]);
   t.deepEqual(current(), {...value, slowStart: 500});
@@ -32,11 +32,11 @@
 // What the caller sees: a second booking under its key. Order: an operator's
 // client puts a service with keepers of its own choice, which know no claims.
 test('an operator cannot put keepers, nor take the appointer’s name', t => {
-  const sample = createSample();
+  const sample = createLoggedMachine();
   sample.edit([putKeepers({name: 'stock-desk', slowStart: 0, keepers})]);
   const put = sample.machine.current().services.get('stock-desk');
   t.is(put!.keepers, undefined);
-  const command = {operator: appointerName('x'), sequence: 1, edits: []};
+  const command = {operator: keeperAssignerName('x'), sequence: 1, edits: []};
   const checked = checkLimits(command, defaults.limits, 0);
   t.is(checked.ok ? 0 : checked.code, configurationCodes.operatorReserved);
 });
@@ -45,10 +45,10 @@
 // looks; the system appoints keepers; the operator's change expects the version
 // seen. Only changes of operators count, in the log and after a snapshot.
 test('an appointment of keepers is no conflict for an operator', t => {
-  const sample = createSample();
+  const sample = createLoggedMachine();
   const first = sample.edit([putService('stock-desk')]);
   const value = {name: 'stock-desk', slowStart: 0, keepers};
-  sample.edit([putKeepers(value)], appointerName('control-1'));
+  sample.edit([putKeepers(value)], keeperAssignerName('control-1'));
   const restored = createSampleMachine();
   restored.restore(sample.machine.appliedIndex(), sample.machine.snapshot());
   const expectedVersion = first.version;
--- a/src/configuration/system-proposer.ts
+++ b/src/configuration/system-proposer.ts
@@ -4,7 +4,7 @@
 import type {Result} from '../result/failure.js';
 import type {Clock} from '../time/clock.js';
 import type {ConfigurationMachine} from './create-configuration-machine.js';
-import {decodeAnswer} from './entry.js';
+import {decodeAnswer} from './log-entry.js';
 import type {Answer, Edit} from './messages.js';
 
 /** Options of `createSystemProposer`. */
--- a/src/distribution/section.ts
+++ b/src/distribution/section.ts
@@ -8,7 +8,7 @@
   Route,
   Service,
 } from '../configuration/configuration.js';
-import {pack, unpack} from '../configuration/packing.js';
+import {compress, decompress} from '../configuration/compression.js';
 import {sortKeys} from '../configuration/sort-keys.js';
 import {distributionCodes} from './codes.js';
 import {failure, success} from '../result/failure.js';
@@ -65,13 +65,13 @@
 
 /** Packs a section; equal sections give equal bytes in every process. */
 export function packSection(name: string, section: Section): PackedSection {
-  return {name, bytes: pack(packr.pack(sortKeys(section)))};
+  return {name, bytes: compress(packr.pack(sortKeys(section)))};
 }
 
 /** Unpacks a section; bytes that are none give a numbered refusal. */
 export function unpackSection(packed: PackedSection): Result<Section> {
   try {
-    const section = packr.unpack(unpack(packed.bytes)) as Section;
+    const section = packr.unpack(decompress(packed.bytes)) as Section;
     if (section.service.name === serviceOf(packed.name)) {
       return success(section);
     }
--- a/src/keepers/appointer.ts
+++ b/src/keepers/appointer.ts
@@ -1,8 +1,8 @@
 /** The leader's part in keeper sets: sees to it that each service has one. */
 import {claimCodes} from '../claims/codes.js';
-import {createKeeperPeers} from '../claims/peers.js';
-import {majorityOf} from '../claims/verdict.js';
-import {appointerName} from '../configuration/system-name.js';
+import {createKeeperClient} from '../claims/keeper-client.js';
+import {majorityOf} from '../claims/vote-count.js';
+import {keeperAssignerName} from '../configuration/system-name.js';
 import type {
   Keeper,
   KeeperAssignment,
@@ -65,12 +65,12 @@
   const missingGrace = options.missingGrace ?? defaultMissingGrace;
   const firstGrace = options.firstGrace ?? defaultFirstGrace;
   const propose = createSystemProposer({
-    operator: appointerName(options.name),
+    operator: keeperAssignerName(options.name),
     consensus,
     machine,
     clock: timers,
   });
-  const peers = createKeeperPeers(options.network, timers);
+  const peers = createKeeperClient(options.network, timers);
   /** When each service's member was first found missing. */
   const missingSince = new Map<string, number>();
   const firstSeen = new Map<string, number>();
--- a/src/keepers/plan.ts
+++ b/src/keepers/plan.ts
@@ -1,7 +1,7 @@
 /** Chooses keeper sets; a plain decision from what the leader sees. */
 import murmurhash from 'murmurhash';
-import {isSameLife} from '../claims/tenure.js';
-import {majorityOf} from '../claims/verdict.js';
+import {isSameIncarnation} from '../claims/service-claims.js';
+import {majorityOf} from '../claims/vote-count.js';
 import type {Keeper, KeeperAssignment} from '../configuration/configuration.js';
 import type {KnownInstance} from '../endpoints/messages.js';
 
@@ -105,7 +105,7 @@
   const candidates = candidatesOf(view);
   const staying = current.members.filter(member => member !== leaving);
   const fresh = candidates.filter(
-    candidate => !staying.some(member => isSameLife(member, candidate)),
+    candidate => !staying.some(member => isSameIncarnation(member, candidate)),
   );
   const canFill = staying.length + fresh.length >= fullSet;
   if (leaving === undefined && !canFill) return {kind: 'none'};
--- a/src/node/upstream-listener.ts
+++ b/src/node/upstream-listener.ts
@@ -1,5 +1,5 @@
 /** Where the upstream beside a node announces itself. */
-import {isBeforeFirst} from '../configuration/configuration.js';
+import {isBeforeFirstChange} from '../configuration/configuration.js';
 import type {Configuration} from '../configuration/configuration.js';
 import type {
   AnnounceServer,
@@ -34,6 +34,6 @@
   configuration: Configuration | undefined,
   name: string,
 ): boolean {
-  if (configuration === undefined || isBeforeFirst(configuration)) return true;
+  if (configuration === undefined || isBeforeFirstChange(configuration)) return true;
   return configuration.services.has(name);
 }
--- a/src/operator/item-shaper.ts
+++ b/src/operator/item-shaper.ts
@@ -1,7 +1,7 @@
 /** Brings items of whole revisions into the one shape that all processes keep. */
 import {configurationCodes} from '../configuration/codes.js';
 import type {Item} from '../configuration/configuration.js';
-import {itemShape} from '../configuration/shape.js';
+import {itemSchema} from '../configuration/schemas.js';
 import {failure, success} from '../result/failure.js';
 import type {Result} from '../result/failure.js';
 import {firstProblem} from '../result/first-problem.js';
@@ -47,7 +47,7 @@
 }
 
 function shapeItem(item: Item, at: number): Result<Item> {
-  const parsed = itemShape.safeParse(item, {path: [at]});
+  const parsed = itemSchema.safeParse(item, {path: [at]});
   if (parsed.success) return success(parsed.data);
   const problem = firstProblem(parsed.error, 'the item');
   return failure(configurationCodes.invalidInput, problem);
--- a/src/operator/router.ts
+++ b/src/operator/router.ts
@@ -1,7 +1,7 @@
 import {initTRPC, TRPCError} from '@trpc/server';
 import {z, ZodError} from 'zod';
 import {configurationCodes as codes} from '../configuration/codes.js';
-import {commandShape, kindShape, nameShape} from '../configuration/shape.js';
+import {commandSchema, kindSchema, nameSchema} from '../configuration/schemas.js';
 import type {Log} from '../log/log.js';
 import type {Refusal} from './messages.js';
 import {refuse} from './refusal.js';
@@ -19,9 +19,9 @@
 
 const memberShape = z
   .object({
-    name: nameShape,
+    name: nameSchema,
     address: z.string().min(3).max(64),
-    failureDomain: nameShape,
+    failureDomain: nameSchema,
   })
   .strict();
 
@@ -46,10 +46,10 @@
   });
   return trpc.router({
     change: mutation
-      .input(commandShape)
+      .input(commandSchema)
       .mutation(({input}) => service.change(input)),
     items: procedure
-      .input(z.object({kind: kindShape, name: nameShape.optional()}).strict())
+      .input(z.object({kind: kindSchema, name: nameSchema.optional()}).strict())
       .query(({input}) => service.items(input.kind, input.name)),
     history: procedure
       .input(z.object({count: z.number().int().positive()}).strict())
@@ -67,10 +67,10 @@
       .query(({input}) => service.wait(input.version, input.within)),
     control: procedure.query(() => service.control()),
     replace: mutation
-      .input(z.object({leaving: nameShape, joining: memberShape}).strict())
+      .input(z.object({leaving: nameSchema, joining: memberShape}).strict())
       .mutation(({input}) => service.replace(input.leaving, input.joining)),
     acceptLoss: mutation
-      .input(z.object({service: nameShape}).strict())
+      .input(z.object({service: nameSchema}).strict())
       .mutation(({input}) => service.acceptLoss(input.service)),
   });
 }
--- a/src/quarantine/standing.test.ts
+++ b/src/quarantine/standing.test.ts
@@ -2,11 +2,11 @@
 import {configurationCodes} from '../configuration/codes.js';
 import type {Quarantine} from '../configuration/configuration.js';
 import {
-  createSample,
+  createLoggedMachine,
   createSampleMachine,
   putService,
 } from '../configuration/fakes/sample.js';
-import {quarantineName} from '../configuration/system-name.js';
+import {quarantineControllerName} from '../configuration/system-name.js';
 import {checkLimits} from '../operator/limits.js';
 import {defaults} from '../settings/defaults.js';
 
@@ -27,9 +27,9 @@
 } as const;
 
 function createHolding() {
-  const sample = createSample();
+  const sample = createLoggedMachine();
   const {version} = sample.edit([putService('stock-desk')]);
-  sample.edit([put], quarantineName('control-1'));
+  sample.edit([put], quarantineControllerName('control-1'));
   return {sample, version};
 }
 
--- a/src/quarantine/warden.ts
+++ b/src/quarantine/warden.ts
@@ -2,7 +2,7 @@
 import type {Quarantine} from '../configuration/configuration.js';
 import type {ConfigurationMachine} from '../configuration/create-configuration-machine.js';
 import type {Edit} from '../configuration/messages.js';
-import {quarantineName} from '../configuration/system-name.js';
+import {quarantineControllerName} from '../configuration/system-name.js';
 import {createSystemProposer} from '../configuration/system-proposer.js';
 import type {Consensus} from '../consensus/consensus.js';
 import type {EndpointView} from '../endpoints/messages.js';
@@ -61,7 +61,7 @@
   const log = options.log.scope('quarantine');
   const ledger = createLedger(timers);
   const propose = createSystemProposer({
-    operator: quarantineName(options.name),
+    operator: quarantineControllerName(options.name),
     consensus,
     machine,
     clock: timers,
--- a/src/request/route-finder.ts
+++ b/src/request/route-finder.ts
@@ -1,6 +1,6 @@
 /** Which route takes a caller's request, or why none does. */
 import type {IncomingMessage} from 'node:http';
-import {isBeforeFirst} from '../configuration/configuration.js';
+import {isBeforeFirstChange} from '../configuration/configuration.js';
 import type {Configuration} from '../configuration/configuration.js';
 import type {Random} from '../random/random.js';
 import type {Code} from '../result/code.js';
@@ -56,7 +56,7 @@
     }
     const configuration = options.configuration();
     // Its `no-route` would be believed for routes that are about to come.
-    if (configuration === undefined || isBeforeFirst(configuration)) {
+    if (configuration === undefined || isBeforeFirstChange(configuration)) {
       return {refused: noConfiguration()};
     }
     const match = routerOf(configuration).match({
