--- a/src/claims/keeper.ts
+++ b/src/claims/keeper.ts
@@ -38,7 +38,7 @@
   /** Adopts a service's keeper set, as a member or as a former one. */
   assign(service: string, assignment: KeeperAssignment): void;
   /**
-   * Waits until other keepers have result over, for at most `limit`
+   * Waits until other keepers have taken over, for at most `limit`
    * milliseconds. Call it before a planned stop, after the instance was
    * announced as draining. Otherwise two nodes that restart one after the other
    * would lose their claims.
--- a/src/configuration/answer-table.test.ts
+++ b/src/configuration/answer-table.test.ts
@@ -7,7 +7,11 @@
   MachineSafeguards,
 } from './create-configuration-machine.js';
 import {decodeAnswer} from './log-entry.js';
-import {createLoggedMachine, createSampleMachine, putService} from './fakes/sample.js';
+import {
+  createLoggedMachine,
+  createSampleMachine,
+  putService,
+} from './fakes/sample.js';
 import type {Answer, Command} from './messages.js';
 
 const names = ['control-1', 'control-2', 'control-3'];
@@ -35,17 +39,17 @@
   edits: [putService('crewbook', sequence)],
 });
 
-/** Commits a change under version 1 and loses its answer. */
+/** Commits a change that expects version 1 and loses its answer. */
 async function loseAnswer(group: Group): Promise<void> {
   await propose(group, 'control-1', command(1));
   group.decide('commit-and-lose');
   await propose(group, 'control-1', command(2, 1));
 }
 
-// The operator's change under expected version 1 is accepted as version 2, the
-// answer is lost with the leader, and the operator resends to the next leader.
-// The resend must be told of version 2. Without the table it is compared with
-// the version that its own first run made, and is told that it lost a race.
+// Failure: a resend is refused as a conflict with its own first run. A change that
+// expects version 1 is accepted as version 2, its answer is lost with the leader,
+// and the operator resends it to the next leader. The answer must be version 2;
+// without the table the expected version is compared with version 2.
 for (const [name, prepare] of [
   ['a leader change', (group: Group) => group.lead('control-2')],
   [
@@ -79,10 +83,11 @@
   });
 }
 
-// Two operators saw version 1 and send different changes to it. The log puts
-// one first; the other must learn that it lost, and to which version. Without
-// an expected version both are accepted and the first is overwritten unseen.
-test('of changes that race under one version exactly one wins', async t => {
+// Failure: a change is overwritten without notice. Several operators change
+// version 1 in different ways. The first change in the log is accepted, and the
+// others are refused with its version. Without an expected version all are
+// accepted.
+test('of competing changes to one version exactly one is accepted', async t => {
   const operators = ['amina', 'daulet', 'salim'];
   const race = async (expectedVersion?: number) => {
     const group = createGroup();
@@ -111,9 +116,10 @@
   );
 });
 
-// The table keeps few answers for each operator. A resend older than these
-// can't be told from a new command: run again it would bring back a value that
-// later changes replaced. The operator's floor refuses it by its own code.
+// Failure: a resend restores a value that later changes have replaced. The table
+// keeps few answers per operator, and a resend older than these can't be
+// distinguished from a new command. The operator's floor refuses it with a
+// separate code.
 test('a resend older than the table is refused and never run again', t => {
   const resend = (safeguards: Partial<MachineSafeguards>) => {
     const {send, machine} = createLoggedMachine({answers: 2}, safeguards);
@@ -131,10 +137,10 @@
   t.is(without.machine.current().services.get('crewbook')?.slowStart, 1);
 });
 
-// The table also keeps few operators. When amina has been dropped her sequence
-// 3 would look like that of a new operator and run again. The floor of those
-// dropped holds for every operator that is not in the table.
-test('a resend of an operator who was dropped is never run again', t => {
+// Failure: a resend of an operator that was dropped from the table runs again,
+// because it looks like the command of a new operator. The floor of dropped
+// operators applies to all operators that are not in the table.
+test('a resend of a dropped operator is never run again', t => {
   const {send, machine} = createLoggedMachine({operators: 2});
   send(command(3));
   for (const operator of ['daulet', 'salim', 'aigul']) {
@@ -148,9 +154,10 @@
   t.is(machine.current().services.get('crewbook')?.slowStart, 6);
 });
 
-// A script sends two different changes under one id. Answering the second
-// with the first's answer would say that it was accepted though it never ran.
-test('an id that names another command is refused', t => {
+// Failure: a change is reported as accepted although it never ran. A script sends
+// two different changes with the same id, and the second gets the answer of the
+// first.
+test('an id that was used for another command is refused', t => {
   const other = {...command(1), edits: [putService('drillvault')]};
   const {send, machine} = createLoggedMachine();
   send(command(1));
@@ -165,7 +172,7 @@
   t.false(machine.current().services.has('drillvault'));
 });
 
-test('commands of one operator may arrive out of order', t => {
+test('commands of one operator can arrive out of order', t => {
   const {send} = createLoggedMachine({answers: 3});
   t.is(send(command(5)).code, 1000);
   t.is(send(command(4)).code, 1000);
@@ -173,7 +180,7 @@
   t.is(send(command(5)).version, 1);
 });
 
-test('refusals are first answers too', t => {
+test('a resend of a refused command gets the same refusal', t => {
   const {send, edit} = createLoggedMachine();
   const removal = {action: 'remove', kind: 'service', name: 'a'} as const;
   const late = {operator: 'daulet', sequence: 1, edits: [removal]};
@@ -195,7 +202,7 @@
   return sizes.at(-1)! / sizes[0]!;
 }
 
-test('endless changes by ever new operators keep the state bounded', t => {
+test('the state stays bounded under endless changes by new operators', t => {
   t.true(growth(4, 3, 5) <= 1.05);
   t.true(growth(1000, 1000, 1000) > 2, 'without the bounds it grows');
 });
--- a/src/configuration/answer-table.ts
+++ b/src/configuration/answer-table.ts
@@ -7,109 +7,110 @@
 /** The first answer to one command. */
 export interface RecordedAnswer {
   readonly sequence: number;
-  /** Digest of what the command asked for. */
+  /** Digest of the command's content. */
   readonly fingerprint: string;
   readonly answer: Answer;
 }
 
-/** What is kept of one operator. */
+/** The answers kept for one operator. */
 export interface OperatorAnswers {
   readonly operator: string;
-  /** Sequences up to this one are never run, whether they ran or not. */
+  /** Commands with a sequence up to this one are refused, whether they ran or not. */
   readonly floor: number;
-  /** In the order of their sequences. */
+  /** Ordered by sequence. */
   readonly recorded: readonly RecordedAnswer[];
 }
 
-/** The whole table, as snapshots hold it. */
+/** The whole table, as it is stored in snapshots. */
 export interface AnswerTableState {
-  /** The floor of operators that are not in the table. */
+  /** The floor for operators that are not in the table. */
   readonly floor: number;
   /** Least recently active first. */
   readonly operators: readonly OperatorAnswers[];
 }
 
-/** Safeguards that a test may take out to show what they are for. */
+/** Safeguards that a test can turn off to show their purpose. */
 export interface AnswerTableSafeguards {
-  /** Refuse sequences whose answers were dropped. */
+  /** Refuses sequences whose answers were dropped. */
   readonly floor: boolean;
-  /** Refuse a sequence that names another command. */
+  /** Refuses a sequence that was used for another command. */
   readonly fingerprint: boolean;
 }
 
 /**
- * First answers by operator and sequence, so that a resend is answered and
- * not run again. It is part of the replicated state: a resend may come to
- * another leader, after a snapshot or a restart.
+ * First answers by operator and sequence, so that a resend gets its answer and
+ * does not run again. The table is part of the replicated state, because a
+ * resend may arrive at another leader, or after a snapshot or a restart.
  *
- * The table is bounded. A sequence dropped from it can't be told from one that
- * never came; running it could run a change twice. So each operator has a
- * floor, the highest sequence dropped, and nothing at or under it runs. When a
- * whole operator is dropped its floor joins the one shared by all operators
- * that are not in the table: that keeps the bound on memory and still never
- * runs a dropped sequence.
+ * The size of the table is bounded. A sequence that was dropped from it can't be
+ * distinguished from one that was never received, and running it could apply a
+ * change twice. Therefore each operator has a floor, the highest dropped
+ * sequence, and no command at or below it runs. When a whole operator is
+ * dropped, its highest sequence raises the floor that is shared by all operators
+ * that are not in the table. This bounds the memory and still never runs a
+ * dropped sequence.
  */
 export interface AnswerTable {
-  /** The answer that the command must get without running; else undefined. */
+  /** The answer if the command must not run; otherwise undefined. */
   find(command: Command, version: number): Answer | undefined;
-  /** Keeps the first answer of a command that `find` let through. */
+  /** Records the first answer to a command for which `find` returned undefined. */
   record(command: Command, answer: Answer, bounds: Bounds): void;
   state(): AnswerTableState;
 }
 
-interface Mutable {
+interface OperatorEntry {
   floor: number;
   recorded: RecordedAnswer[];
 }
 
 const packr = new Packr({useRecords: false});
 
-/** Creates a table, empty or as a snapshot held it. */
+/** Creates a table, empty or from the state in a snapshot. */
 export function createAnswerTable(
   state: AnswerTableState = {floor: 0, operators: []},
   safeguards: AnswerTableSafeguards = {floor: true, fingerprint: true},
 ): AnswerTable {
   let sharedFloor = state.floor;
-  const operators = new Map<string, Mutable>();
+  const operators = new Map<string, OperatorEntry>();
   for (const {operator, floor, recorded} of state.operators) {
     operators.set(operator, {floor, recorded: [...recorded]});
   }
 
   function find(command: Command, version: number): Answer | undefined {
-    const known = operators.get(command.operator);
-    const first = known?.recorded.find(
+    const entry = operators.get(command.operator);
+    const first = entry?.recorded.find(
       ({sequence}) => sequence === command.sequence,
     );
     if (first === undefined) return checkFloor(command, version);
     if (!safeguards.fingerprint) return first.answer;
-    if (first.fingerprint === takeFingerprint(command)) return first.answer;
-    return answerReused(command, version, highestOf(command.operator));
+    if (first.fingerprint === computeFingerprint(command)) return first.answer;
+    return answerReused(command, version, highestSequence(command.operator));
   }
 
   function checkFloor(command: Command, version: number): Answer | undefined {
     const floor = operators.get(command.operator)?.floor ?? sharedFloor;
     if (!safeguards.floor || command.sequence > floor) return undefined;
-    return answerExpired(command, version, highestOf(command.operator));
+    return answerExpired(command, version, highestSequence(command.operator));
   }
 
-  function highestOf(operator: string): number {
+  function highestSequence(operator: string): number {
     const newest = operators.get(operator)?.recorded.at(-1);
     return newest?.sequence ?? sharedFloor;
   }
 
   function record(command: Command, answer: Answer, bounds: Bounds): void {
     const {operator, sequence} = command;
-    const known = operators.get(operator) ?? {
+    const entry = operators.get(operator) ?? {
       floor: sharedFloor,
       recorded: [],
     };
-    const fingerprint = takeFingerprint(command);
-    insert(known.recorded, {sequence, fingerprint, answer});
-    while (known.recorded.length > bounds.answers) {
-      known.floor = known.recorded.shift()!.sequence;
+    const fingerprint = computeFingerprint(command);
+    insert(entry.recorded, {sequence, fingerprint, answer});
+    while (entry.recorded.length > bounds.answers) {
+      entry.floor = entry.recorded.shift()!.sequence;
     }
     operators.delete(operator);
-    operators.set(operator, known);
+    operators.set(operator, entry);
     while (operators.size > bounds.operators) dropOldest();
   }
 
@@ -125,23 +126,23 @@
     record,
     state: () => ({
       floor: sharedFloor,
-      operators: [...operators].map(([operator, known]) => ({
+      operators: [...operators].map(([operator, entry]) => ({
         operator,
-        floor: known.floor,
-        recorded: [...known.recorded],
+        floor: entry.floor,
+        recorded: [...entry.recorded],
       })),
     }),
   };
 }
 
-/** Keeps the list in the order of sequences; most go to its end. */
-function insert(recorded: RecordedAnswer[], entry: RecordedAnswer): void {
-  let at = recorded.length;
-  while (at > 0 && recorded[at - 1]!.sequence > entry.sequence) at--;
-  recorded.splice(at, 0, entry);
+/** Inserts an answer by its sequence; most are inserted at the end. */
+function insert(recorded: RecordedAnswer[], added: RecordedAnswer): void {
+  let index = recorded.length;
+  while (index > 0 && recorded[index - 1]!.sequence > added.sequence) index--;
+  recorded.splice(index, 0, added);
 }
 
-function takeFingerprint(command: Command): string {
+function computeFingerprint(command: Command): string {
   const {expectedVersion = null, edits} = command;
   return createHash('sha256')
     .update(packr.pack({expectedVersion, edits}))
@@ -155,8 +156,8 @@
   highest: number,
 ): Answer {
   const message =
-    `the answer to ${operator}/${sequence} is no longer kept and it was not ` +
-    `run again; see history, and use sequences above ${highest}`;
+    `the answer to ${operator}/${sequence} is no longer stored, and the command ` +
+    `was not run again; see history, and use sequences above ${highest}`;
   return {code: codes.answerExpired.number, message, version, highest};
 }
 
@@ -166,7 +167,7 @@
   highest: number,
 ): Answer {
   const message =
-    `${operator}/${sequence} names a different command that was answered ` +
-    `before; use sequences above ${highest}`;
+    `${operator}/${sequence} was already used for a different command; ` +
+    `use sequences above ${highest}`;
   return {code: codes.sequenceReused.number, message, version, highest};
 }
--- a/src/configuration/compression.ts
+++ b/src/configuration/compression.ts
@@ -1,26 +1,28 @@
-/** Packs what is large before it is stored and sent. */
+/** Compression of large data before it is stored or sent. */
 import {deflateRawSync, inflateRawSync} from 'node:zlib';
 
-/** Bytes from which packing pays: what is smaller goes in one packet either way. */
-const packedFrom = 1024;
+/** Minimum size in bytes; smaller data fits into one network packet anyway. */
+const minSize = 1024;
 
-/** Fastest level; a configuration of 425 kB packs to 38 kB in 3 ms of a core. */
+/** Fastest level; it compresses a 425 kB configuration to 38 kB in 3 ms of a core. */
 const level = 1;
 
-/** Bytes that unpacked content may have; a damaged length must not fill memory. */
-const unpackedLimit = 256 * 1024 * 1024;
+/** Maximum decompressed size, so that damaged data can't fill the memory. */
+const maxDecompressedSize = 256 * 1024 * 1024;
 
-/** First byte of packed content; MessagePack never begins with it. */
+/** First byte of compressed data; MessagePack data never starts with it. */
 const marker = 0xc1;
 
-/** Packs bytes where that pays. */
+/** Compresses bytes unless they are small. */
 export function compress(bytes: Uint8Array): Uint8Array {
-  if (bytes.length < packedFrom) return bytes;
+  if (bytes.length < minSize) return bytes;
   return Buffer.concat([Buffer.of(marker), deflateRawSync(bytes, {level})]);
 }
 
-/** The bytes before `pack`; those that were never packed come back as they are. */
+/** Reverses `compress`; returns bytes that are not compressed unchanged. */
 export function decompress(bytes: Uint8Array): Uint8Array {
   if (bytes[0] !== marker) return bytes;
-  return inflateRawSync(bytes.subarray(1), {maxOutputLength: unpackedLimit});
+  return inflateRawSync(bytes.subarray(1), {
+    maxOutputLength: maxDecompressedSize,
+  });
 }
--- a/src/configuration/create-configuration-machine.test.ts
+++ b/src/configuration/create-configuration-machine.test.ts
@@ -17,7 +17,7 @@
   putRoute('stock', 'stock-desk', 'lookups'),
 ];
 
-test('a change makes the version of its log index, and no change makes none', t => {
+test('the version is the log index of the last change that had an effect', t => {
   const {machine, edit} = createLoggedMachine();
   t.is(edit(whole).version, 1);
   const again = edit(whole);
@@ -31,7 +31,7 @@
   ]);
 });
 
-test('a configuration in hand does not change under its holder', t => {
+test('a configuration that was read does not change later', t => {
   const {machine, edit} = createLoggedMachine();
   edit(whole);
   const before = machine.current();
@@ -41,11 +41,11 @@
   t.is(machine.current().routes, before.routes);
 });
 
-// The operator sees a change refused with the name that is missing. The change
-// is checked against the whole state that it would lead to, since a route whose
-// service is gone would send its callers nowhere on every node at once. Without
-// the check the change is accepted and the route is left dangling.
-test('a route never points at a missing service or policy', t => {
+// Failure: a route refers to a service that does not exist, so that all nodes
+// reject its requests at once. Each change is checked in the whole state that
+// would result, and a refusal names the missing item. Without the check the
+// change is accepted.
+test('a route never refers to a missing service or policy', t => {
   const missingService = [putRoute('stock', 'stock-desk', 'lookups')];
   const {edit, machine} = createLoggedMachine();
   edit([putPolicy('lookups')]);
@@ -65,7 +65,7 @@
   t.false(without.machine.current().services.has(route!.service));
 });
 
-test('what is still referred to is not removed, unless in the same change', t => {
+test('an item with references is only removed together with them', t => {
   const {edit, machine} = createLoggedMachine();
   edit([...whole, putDrain('stock-desk-1', 'stock-desk')]);
   const removal = {action: 'remove', kind: 'service', name: 'stock-desk'};
@@ -81,10 +81,10 @@
   t.is(machine.current().services.size, 0);
 });
 
-test('a change with one bad edit changes nothing at all', t => {
+test('a change with one invalid edit has no effect', t => {
   const {edit, machine} = createLoggedMachine();
   edit(whole);
-  const digest = machine.current();
+  const before = machine.current();
   const refused = edit([
     putService('stock-desk', 5000),
     {action: 'remove', kind: 'route', name: 'stock'},
@@ -92,35 +92,43 @@
   ]);
   t.is(refused.code, codes.notFound.number);
   t.regex(refused.message, /route gone/);
-  t.deepEqual(machine.current(), digest);
+  t.deepEqual(machine.current(), before);
   t.is(edit([putRoute('again', 'stock-desk', 'lookups', '/stock')]).code, 2004);
 });
 
-test('two routes never take the same requests', t => {
+test('two routes never match the same requests', t => {
   const {edit} = createLoggedMachine();
   edit(whole);
   const put = (name: string, methods: string[]) =>
     edit([putRoute(name, 'stock-desk', 'lookups', '/stock', methods)]).code;
   t.is(put('all', []), codes.routeOverlap.number);
-  t.is(put('reads', ['GET', 'HEAD']), 1000, 'own methods go before all');
+  t.is(
+    put('reads', ['GET', 'HEAD']),
+    1000,
+    'listed methods precede all methods',
+  );
   t.is(put('heads', ['HEAD']), codes.routeOverlap.number);
   t.is(put('writes', ['POST']), 1000);
 });
 
-test('counts are bounded by what the entry carries', t => {
+test('the bounds of the entry limit the number of items', t => {
   const {edit} = createLoggedMachine({services: 2});
   t.is(edit([putService('a'), putService('b')]).code, 1000);
   const refused = edit([putService('c')]);
   t.is(refused.code, codes.limitExceeded.number);
   t.regex(refused.message, /limits\.services/);
-  t.is(edit([putService('b', 5000)]).code, 1000, 'a put in place is no growth');
+  t.is(
+    edit([putService('b', 5000)]).code,
+    1000,
+    'a replaced item does not increase the count',
+  );
 });
 
-// Two control processes are restarted with a larger limit, one after the
-// other. If each applied entries under its own limit, the same log would give
-// one the item and refuse it to the other, and their states would part for
-// good. The proposer's bounds travel in the entry, so both do the same.
-test('processes with different limits stay equal', t => {
+// Failure: the states of two control processes diverge permanently. They are
+// restarted with a larger limit one after the other, and if each applied entries
+// with its own limit, one would accept an item that the other refuses. Each entry
+// contains the bounds of its proposer, so both apply the same ones.
+test('processes with different limits have the same state', t => {
   const large = createSampleMachine({services: 100, answers: 8, history: 9});
   const small = createSampleMachine({services: 1, answers: 1, history: 1});
   for (let index = 1; index <= 20; index++) {
@@ -133,7 +141,7 @@
   }
 });
 
-test('bytes that are no entry change nothing and stop nothing', t => {
+test('invalid log entries change nothing and do not stop the process', t => {
   const {machine, edit} = createLoggedMachine();
   edit(whole);
   const before = machine.digest();
@@ -145,22 +153,22 @@
   t.is(machine.digest(), before);
 });
 
-test('history keeps the last changes, newest first', t => {
+test('the history contains the last changes, newest first', t => {
   const {machine, edit} = createLoggedMachine({history: 2});
   edit(whole, 'amina');
   edit([putService('a')], 'daulet');
   edit([putService('b')], 'daulet');
-  const told = machine.history().map(change => change.edits);
-  t.deepEqual(told, [['put service b'], ['put service a']]);
+  const histories = machine.history().map(change => change.edits);
+  t.deepEqual(histories, [['put service b'], ['put service a']]);
   t.is(machine.history()[0]!.operator, 'daulet');
 });
 
-test('observers hear of each change and of a restored snapshot', t => {
+test('observers are notified of each change and of a restored snapshot', t => {
   const {machine, edit} = createLoggedMachine();
-  const heard: number[] = [];
-  machine.onChange(version => heard.push(version));
+  const observed: number[] = [];
+  machine.onChange(version => observed.push(version));
   edit(whole);
   edit(whole);
   machine.restore(9, machine.snapshot());
-  t.deepEqual(heard, [1, 1]);
+  t.deepEqual(observed, [1, 1]);
 });
--- a/src/configuration/fakes/sample.ts
+++ b/src/configuration/fakes/sample.ts
@@ -6,7 +6,7 @@
 import {decodeAnswer} from '../log-entry.js';
 import type {Answer, Command, Edit} from '../messages.js';
 
-/** Short ways to edits and machines, for tests and benches. */
+/** Helpers to create edits and machines in tests and benchmarks. */
 
 export function putService(name: string, slowStart = 0): Edit {
   return {
@@ -43,7 +43,7 @@
   return {action: 'put', item: {kind: 'drain', value: {name, service}}};
 }
 
-/** A machine with the default limits but for `limits`. */
+/** Creates a machine with the default limits, overridden by `limits`. */
 export function createSampleMachine(
   limits: Partial<Limits> = {},
   safeguards: Partial<MachineSafeguards> = {},
@@ -54,13 +54,13 @@
   });
 }
 
-/** A machine under a log of its own that grows by each command. */
+/** A machine with a log to which each command is appended. */
 export interface LoggedMachine {
   readonly machine: ConfigurationMachine;
   readonly log: readonly Uint8Array[];
-  /** Applies the next entry. */
+  /** Appends a command to the log and applies it. */
   send(command: Command): Answer;
-  /** Sends edits as `operator` under a fresh sequence. */
+  /** Sends edits as `operator` with a new sequence. */
   edit(edits: readonly Edit[], operator?: string): Answer;
 }
 
--- a/src/configuration/history.ts
+++ b/src/configuration/history.ts
@@ -1,18 +1,18 @@
 import type {Command, Edit} from './messages.js';
 
-/** One change that was accepted. */
+/** An accepted change. */
 export interface Change {
   readonly version: number;
   readonly operator: string;
   readonly sequence: number;
-  /** Milliseconds since the epoch on the proposer's clock. */
+  /** Milliseconds since the epoch by the proposer's clock. */
   readonly time: number;
-  /** Its edits in words; long changes end in a count. */
+  /** Descriptions of its edits; in a long change the last one is a count. */
   readonly edits: readonly string[];
 }
 
-/** Edits told of one change. */
-const editsTold = 8;
+/** Maximum number of edits that are described for one change. */
+const maxDescribedEdits = 8;
 
 /** Describes an accepted command. */
 export function describeChange(
@@ -21,10 +21,10 @@
   time: number,
 ): Change {
   const {operator, sequence, edits} = command;
-  const told = edits.slice(0, editsTold).map(describeEdit);
-  const rest = edits.length - told.length;
-  if (rest > 0) told.push(`and ${rest} more`);
-  return {version, operator, sequence, time, edits: told};
+  const descriptions = edits.slice(0, maxDescribedEdits).map(describeEdit);
+  const remaining = edits.length - descriptions.length;
+  if (remaining > 0) descriptions.push(`and ${remaining} more`);
+  return {version, operator, sequence, time, edits: descriptions};
 }
 
 function describeEdit(edit: Edit): string {
--- a/src/configuration/limits.ts
+++ b/src/configuration/limits.ts
@@ -1,52 +1,53 @@
 /**
- * Limits of one deployment on its configuration; all are settings.
+ * Limits of a deployment on its configuration; all are settings.
  *
- * `Bounds` decide how the replicated state grows, so every control process
- * must use the same ones on the same entry: the proposer's bounds travel in
- * the entry itself. The other limits are checked before the log only.
+ * `Bounds` determine how the replicated state grows, so all control processes
+ * must use the same ones for the same entry. Therefore each entry contains the
+ * bounds of its proposer. The other limits are only checked before a command is
+ * written to the log.
  */
 
-/** Limits that `apply` needs; they travel in each entry. */
+/** Limits that `apply` uses; each entry contains them. */
 export interface Bounds {
-  /** Services at once. */
+  /** Maximum number of services. */
   readonly services: number;
-  /** Routes at once. */
+  /** Maximum number of routes. */
   readonly routes: number;
-  /** Policies at once. */
+  /** Maximum number of policies. */
   readonly policies: number;
-  /** Drains at once. */
+  /** Maximum number of drains. */
   readonly drains: number;
-  /** Quarantines at once. */
+  /** Maximum number of quarantines. */
   readonly quarantines: number;
-  /** Operators whose answers are kept, the most recent first. */
+  /** Number of operators, the most recently active, whose answers are stored. */
   readonly operators: number;
-  /** Answers kept for one operator, the highest sequences. */
+  /** Number of answers, those of the highest sequences, stored per operator. */
   readonly answers: number;
-  /** Changes kept in the history. */
+  /** Number of changes in the history. */
   readonly history: number;
 }
 
-/** Limits on one command, checked at the operators' API. */
+/** Limits on one command, which the operators' API checks. */
 export interface Limits extends Bounds {
-  /** Characters in a name. */
+  /** Maximum length of a name in characters. */
   readonly nameLength: number;
-  /** Characters in a route's prefix. */
+  /** Maximum length of a route's prefix in characters. */
   readonly prefixLength: number;
-  /** Edits in one command. */
+  /** Maximum number of edits in one command. */
   readonly edits: number;
-  /** Longest deadline of a policy, in milliseconds. */
+  /** Maximum deadline of a policy, in milliseconds. */
   readonly deadline: number;
-  /** Longest slow start of a service, in milliseconds. */
+  /** Maximum slow start of a service, in milliseconds. */
   readonly slowStart: number;
-  /** Most attempts of a policy. */
+  /** Maximum number of attempts of a policy. */
   readonly attempts: number;
-  /** Largest body limit of a policy, in bytes. */
+  /** Maximum body limit of a policy, in bytes. */
   readonly bodyLimit: number;
-  /** How far a sequence may be ahead of the clock, in milliseconds. */
+  /** Maximum time by which a sequence is ahead of the clock, in milliseconds. */
   readonly sequenceAhead: number;
 }
 
-/** The part of the limits that travels in an entry. */
+/** The part of the limits that an entry contains. */
 export function selectBounds(limits: Limits): Bounds {
   return {
     services: limits.services,
--- a/src/configuration/logged-revisions.test.ts
+++ b/src/configuration/logged-revisions.test.ts
@@ -24,7 +24,7 @@
   return edits.flatMap(edit => (edit.action === 'put' ? [edit.item] : []));
 }
 
-/** A revision of 2,400 routes and some 400 kB, of which `changed` changes one. */
+/** A revision of 2,400 routes and about 400 kB; `changed` varies one route. */
 function revision(number: number, base: number, changed = number): Replacement {
   const items = itemsOf(changed);
   const filler = 'x'.repeat(60);
@@ -35,7 +35,7 @@
   return {revision: number, base, items, document};
 }
 
-function stage() {
+function createTestLog() {
   const machine = createSampleMachine();
   const log: Uint8Array[] = [];
   const apply = (entry: Uint8Array) => {
@@ -49,11 +49,11 @@
 
 const ok = commonCodes.ok.number;
 
-// Links between failure domains carry little but configuration, and callers on
-// thin links wait behind it: each change of one route sent the operator's whole
-// text to each follower.
-test('a change of one route is a small entry of the log', t => {
-  const {put, log, machine} = stage();
+// Failure: each change of one route sends the operator's whole text to each
+// follower. Configuration then takes up most of the capacity of links between
+// failure domains, and callers on slow links have to wait.
+test('the log entry for a change of one route is small', t => {
+  const {put, log, machine} = createTestLog();
   const first = revision(1, 0);
   t.true(first.document.length > 400_000);
   t.is(put(first), ok);
@@ -62,16 +62,16 @@
   t.is(machine.revision()!.document, revision(2, 1).document);
 });
 
-test('the first revision is packed in the log, and so is a snapshot', t => {
-  const {put, log, machine} = stage();
+test('the first revision in the log and snapshots are compressed', t => {
+  const {put, log, machine} = createTestLog();
   const first = revision(1, 0);
   put(first);
   t.true(log[0]!.length < first.document.length / 4);
   t.true(machine.snapshot().length < first.document.length / 4);
 });
 
-test('a follower that begins with a snapshot follows the differences after it', t => {
-  const {put, log, machine} = stage();
+test('a follower that starts from a snapshot applies the differences after it', t => {
+  const {put, log, machine} = createTestLog();
   put(revision(1, 0));
   put(revision(2, 1));
   const other = createSampleMachine();
@@ -82,8 +82,8 @@
   t.is(other.digest(), machine.digest());
 });
 
-test('the next leader goes on from the differences of the last', t => {
-  const {put, log, apply, machine} = stage();
+test('the next leader continues with the differences of the previous leader', t => {
+  const {put, log, apply, machine} = createTestLog();
   put(revision(1, 0));
   put(revision(2, 1));
   const next = createSampleMachine();
@@ -92,8 +92,8 @@
   t.is(machine.revision()!.document, revision(5, 2).document);
 });
 
-test('of two operators who change one revision the second is refused', t => {
-  const {apply, machine} = stage();
+test('the second of two concurrent changes to one revision is refused', t => {
+  const {apply, machine} = createTestLog();
   apply(machine.prepareReplacement(revision(1, 0), 0));
   const left = machine.prepareReplacement(revision(2, 1), 0);
   const right = machine.prepareReplacement(revision(2, 1, 99), 0);
@@ -102,16 +102,16 @@
   t.is(machine.revision()!.document, revision(2, 1).document);
 });
 
-test('a resend of an older revision is answered as the first time', t => {
-  const {put, machine} = stage();
+test('a resend of an older revision gets the first answer again', t => {
+  const {put, machine} = createTestLog();
   for (const number of [1, 2, 3]) put(revision(number, number - 1));
   t.is(put(revision(2, 1)), ok);
   t.is(put(revision(2, 1, 99)), codes.conflict.number);
   t.is(machine.revision()!.number, 3);
 });
 
-test('a log written with whole texts is read back', t => {
-  const {put, log, machine} = stage();
+test('a log with whole texts leads to the same state', t => {
+  const {put, log, machine} = createTestLog();
   put(revision(1, 0));
   put(revision(2, 1));
   const old = createSampleMachine();
@@ -124,10 +124,10 @@
   t.is(old.digest(), machine.digest());
 });
 
-// An operator reads back a text that nobody sent. The text in force was damaged
-// at one process, and a difference was taken for a change of it.
-test('a difference from another text than the one in force stops the process', t => {
-  const {put, log} = stage();
+// Failure: an operator reads a text that no operator sent. The text in force is
+// damaged at one process, which then applies a difference to it.
+test('a difference from a damaged text stops the process', t => {
+  const {put, log} = createTestLog();
   put(revision(1, 0));
   put(revision(2, 1));
   const damaged = createSampleMachine();
@@ -135,7 +135,7 @@
   const document = revision(1, 0).document.replace('/r/1000', '/r/1x00');
   const replacement = {...entry.replacement, document};
   damaged.apply(1, encodeEntry({...entry, replacement}));
-  // The failures of the error library are no native errors to the test runner.
+  // The test runner does not accept errors of the error library as native errors.
   const error: unknown = t.throws(() => damaged.apply(2, log[1]!), {any: true});
   t.is((error as Failure).code, codes.documentDamaged);
 });
--- a/src/configuration/snapshot.test.ts
+++ b/src/configuration/snapshot.test.ts
@@ -41,11 +41,11 @@
   return {operator, sequence, edits};
 }
 
-// A control process comes back after hundreds of changes have passed it by and
-// gets a snapshot and the log's tail. Its state must be that of a process that
-// applied the whole log, answers and history included: a difference would show
-// only when it leads, as a change accepted twice or refused wrongly.
-test('a snapshot and the tail give the same digest as the whole log', t => {
+// Failure: a leader accepts a change twice or refuses it wrongly. A control process
+// was down for hundreds of changes and then receives a snapshot and the rest of
+// the log. Its state, including answers and history, must equal that of a process
+// that applied the whole log; a difference shows only when it becomes leader.
+test('a snapshot and the rest of the log give the digest of the whole log', t => {
   const random = createRandom(7);
   const {machine, log, send} = createLoggedMachine(limits);
   const snapshots = new Map<number, Uint8Array>();
@@ -67,7 +67,7 @@
   }
 });
 
-test('a restored machine checks references as before', t => {
+test('a restored machine checks references', t => {
   const {machine, edit} = createLoggedMachine();
   edit([putService('a'), putPolicy('p'), putRoute('r', 'a', 'p', '/r')]);
   const restored = createLoggedMachine();
@@ -78,7 +78,7 @@
   t.regex(restored.edit([twin], 'salim').message, /same requests as route r/);
 });
 
-test('a snapshot of another format leaves the state as it was', t => {
+test('a snapshot in another format does not change the state', t => {
   const {machine, edit} = createLoggedMachine();
   edit([putService('a')]);
   const digest = machine.digest();
@@ -89,7 +89,7 @@
   t.is(machine.digest(), digest);
 });
 
-test('the digest depends on the state and not on how it came about', t => {
+test('equal states have equal digests', t => {
   const left = createSampleMachine(limits);
   const right = createSampleMachine(limits);
   const send = (machine: typeof left, index: number, name: string) => {
--- a/src/configuration/system-name.test.ts
+++ b/src/configuration/system-name.test.ts
@@ -5,7 +5,11 @@
 import {configurationCodes} from './codes.js';
 import type {Service} from './configuration.js';
 import {decodeAnswer} from './log-entry.js';
-import {createLoggedMachine, createSampleMachine, putService} from './fakes/sample.js';
+import {
+  createLoggedMachine,
+  createSampleMachine,
+  putService,
+} from './fakes/sample.js';
 
 const keepers = {
   epoch: 2,
@@ -18,7 +22,7 @@
   return {action: 'put', item: {kind: 'service', value}} as const;
 }
 
-test('keepers are put by the appointer and kept by operators', t => {
+test('keepers are set by the system and unchanged by operators', t => {
   const sample = createLoggedMachine();
   const current = () => sample.machine.current().services.get('stock-desk');
   sample.edit([putService('stock-desk')]);
@@ -29,9 +33,9 @@
   t.deepEqual(current(), {...value, slowStart: 500});
 });
 
-// What the caller sees: a second booking under its key. Order: an operator's
-// client puts a service with keepers of its own choice, which know no claims.
-test('an operator cannot put keepers, nor take the appointer’s name', t => {
+// Failure: a second booking for one key. An operator's client puts a service with
+// other keepers, which do not have its claims.
+test('an operator can neither set keepers nor use a name of the system', t => {
   const sample = createLoggedMachine();
   sample.edit([putKeepers({name: 'stock-desk', slowStart: 0, keepers})]);
   const put = sample.machine.current().services.get('stock-desk');
@@ -41,10 +45,11 @@
   t.is(checked.ok ? 0 : checked.code, configurationCodes.operatorReserved);
 });
 
-// What an operator sees: a conflict although nobody raced. Order: the operator
-// looks; the system appoints keepers; the operator's change expects the version
-// seen. Only changes of operators count, in the log and after a snapshot.
-test('an appointment of keepers is no conflict for an operator', t => {
+// Failure: an operator gets a conflict although no other operator changed anything.
+// The operator reads the version, the system assigns keepers, and the operator's
+// change expects the version that was read. Only changes by operators conflict,
+// also after a snapshot.
+test('an assignment of keepers is no conflict for an operator', t => {
   const sample = createLoggedMachine();
   const first = sample.edit([putService('stock-desk')]);
   const value = {name: 'stock-desk', slowStart: 0, keepers};
@@ -53,14 +58,14 @@
   restored.restore(sample.machine.appliedIndex(), sample.machine.snapshot());
   const expectedVersion = first.version;
   const edits = [putService('stock-desk', 500)];
-  const races = ['amina', 'daulet'].map((operator, at) => {
+  const answers = ['amina', 'daulet'].map((operator, at) => {
     const command = {operator, sequence: 9, expectedVersion, edits};
     const bytes = restored.apply(10 + at, restored.prepare(command, 0));
     return decodeAnswer(bytes);
   });
-  t.is(races[0]!.code, 1000);
-  t.is(races[1]!.code, configurationCodes.conflict.number);
-  t.is(races[1]!.version, races[0]!.version);
+  t.is(answers[0]!.code, 1000);
+  t.is(answers[1]!.code, configurationCodes.conflict.number);
+  t.is(answers[1]!.version, answers[0]!.version);
   const ahead = {operator: 'amina', sequence: 10, expectedVersion: 99, edits};
   const refused = restored.apply(12, restored.prepare(ahead, 0));
   t.is(decodeAnswer(refused).code, configurationCodes.conflict.number);
--- a/src/configuration/system-name.ts
+++ b/src/configuration/system-name.ts
@@ -1,20 +1,20 @@
-const appointerPrefix = 'keepers.';
-const quarantinePrefix = 'quarantine.';
+const keeperAssignerPrefix = 'keepers.';
+const quarantineControllerPrefix = 'quarantine.';
 
-/** The operator name under which a control process appoints keepers. */
+/** The operator name with which a control process assigns keepers. */
 export function keeperAssignerName(control: string): string {
-  return `${appointerPrefix}${control}`;
+  return `${keeperAssignerPrefix}${control}`;
 }
 
-/** The operator name under which a control process holds requests back. */
+/** The operator name with which a control process quarantines requests. */
 export function quarantineControllerName(control: string): string {
-  return `${quarantinePrefix}${control}`;
+  return `${quarantineControllerPrefix}${control}`;
 }
 
-/** Whether a command comes from a control process itself, not an operator. */
+/** Whether an operator name belongs to a control process. */
 export function isSystemOperator(operator: string): boolean {
   return (
-    operator.startsWith(appointerPrefix) ||
-    operator.startsWith(quarantinePrefix)
+    operator.startsWith(keeperAssignerPrefix) ||
+    operator.startsWith(quarantineControllerPrefix)
   );
 }
--- a/src/configuration/system-proposer.ts
+++ b/src/configuration/system-proposer.ts
@@ -1,4 +1,4 @@
-/** Proposes changes that a control process makes itself, not an operator. */
+/** Proposes changes by a control process itself instead of an operator. */
 import type {Consensus} from '../consensus/consensus.js';
 import {success} from '../result/failure.js';
 import type {Result} from '../result/failure.js';
@@ -9,27 +9,27 @@
 
 /** Options of `createSystemProposer`. */
 export interface SystemProposerOptions {
-  /** The system's own operator name; see `system-name.ts`. */
+  /** The operator name of the system; see `system-name.ts`. */
   readonly operator: string;
   readonly consensus: Pick<Consensus, 'propose'>;
   readonly machine: Pick<ConfigurationMachine, 'prepare'>;
   readonly clock: Clock;
 }
 
-/** Proposes edits; refused unless `expectedVersion`, if given, is in force. */
+/** Proposes edits; they are refused if `expectedVersion` is not in force. */
 export type SystemProposer = (
   edits: readonly Edit[],
   expectedVersion?: number,
 ) => Promise<Result<Answer>>;
 
-/** Creates the proposer of one part of a control process. */
+/** Creates the proposer for one part of a control process. */
 export function createSystemProposer(
   options: SystemProposerOptions,
 ): SystemProposer {
   const {operator, consensus, machine, clock} = options;
   let lastSequence = 0;
 
-  /** Clock in microseconds, as operators' sequences are; never the same twice. */
+  /** A unique sequence: the clock in microseconds, as in operators' sequences. */
   function nextSequence(): number {
     const time = Math.floor(clock.wall() * 1000);
     lastSequence = Math.max(time, lastSequence + 1);
--- a/src/configuration/text-difference.test.ts
+++ b/src/configuration/text-difference.test.ts
@@ -2,7 +2,7 @@
 import {createRandom} from '../random/random.js';
 import {applyDifference, differenceOf} from './text-difference.js';
 
-/** A revision of `count` routes as an operator would write it. */
+/** The text of a revision with `count` routes. */
 function textOf(count: number, change = ''): string {
   const routes = Array.from({length: count}, (_, at) => {
     const prefix = at === count - 1 ? `/last${change}/` : `/r${at}/`;
@@ -11,24 +11,24 @@
   return `{"base":1,"routes":{${routes.join(',')}},"version":2}`;
 }
 
-test('a text is made again of its base and the difference', t => {
+test('applying a difference to the base gives the text', t => {
   const random = createRandom(7);
   const words = ['{"a":1}', '{"b":2}', ',', '\n', 'text', '}', ''];
-  const draw = () =>
+  const drawText = () =>
     Array.from({length: random.integer(12)}, () => random.pick(words)).join('');
-  for (let turn = 0; turn < 2_000; turn++) {
-    const base = draw();
-    const text = draw();
+  for (let round = 0; round < 2_000; round++) {
+    const base = drawText();
+    const text = drawText();
     t.is(applyDifference(base, differenceOf(base, text)), text);
   }
 });
 
-test('the difference of one route among many holds little but that route', t => {
+test('the difference for one of many routes is small', t => {
   const difference = differenceOf(textOf(1_000), textOf(1_000, '-moved'));
   t.true(JSON.stringify(difference).length < 200);
 });
 
-test('a text without anything in common is a difference of its own', t => {
+test('the difference of unrelated texts is the new text', t => {
   t.deepEqual(differenceOf('abc', 'xyz'), ['xyz']);
   t.deepEqual(differenceOf('', 'xyz'), ['xyz']);
 });
--- a/src/configuration/text-difference.ts
+++ b/src/configuration/text-difference.ts
@@ -1,24 +1,25 @@
 /**
- * What differs between two texts that are much alike, such as an operator's
- * revision and the one that it builds on.
+ * Differences between two similar texts, such as an operator's revision and its
+ * base.
  */
 
-/** Text of its own, or so many pieces of the base from one on. */
+/** New text, or `count` pieces of the base starting at index `from`. */
 export type TextPart = string | readonly [from: number, count: number];
 
-/** The parts of a text in their order. */
+/** The parts that form a text. */
 export type TextDifference = readonly TextPart[];
 
-/** After these a piece of a text ends: an object's brace, a line's end. */
+/** Characters at which a piece of a text ends. */
 const pieceEnd = /[}\n]/g;
 
 /**
- * The pieces of a text. A revision is JSON of hundreds of objects, of which a
- * change touches a few, and whole pieces are found by one look-up each. Of 425 kB
- * a difference is made in 3 to 5 ms and applied in 1.3 to 1.6 ms of one core;
- * byte by byte, a library applied it in 10 to 14 ms, at each member.
+ * Splits a text into pieces. A revision is JSON with hundreds of objects, of which
+ * a change affects a few, and a piece of the base is found by one look-up. For
+ * 425 kB it takes 3 to 5 ms of one core to compute a difference and 1.3 to 1.6 ms
+ * to apply it. A library that compares bytes took 10 to 14 ms to apply it, at each
+ * member.
  */
-function piecesOf(text: string): string[] {
+function splitIntoPieces(text: string): string[] {
   const pieces: string[] = [];
   let from = 0;
   for (const {index} of text.matchAll(pieceEnd)) {
@@ -29,14 +30,14 @@
   return pieces;
 }
 
-/** The difference that makes `text` of `base`. */
+/** Computes the difference from `base` to `text`. */
 export function differenceOf(base: string, text: string): TextDifference {
-  const pieces = piecesOf(base);
-  const places = new Map(pieces.map((piece, at) => [piece, at]));
+  const pieces = splitIntoPieces(base);
+  const indexes = new Map(pieces.map((piece, at) => [piece, at]));
   const parts: Array<string | [from: number, count: number]> = [];
 
-  /** Adds a piece of the base to the last part where it comes next there. */
-  function extend(piece: string): boolean {
+  /** Extends the last part if `piece` is the next piece of the base. */
+  function extendLastPart(piece: string): boolean {
     const last = parts.at(-1);
     if (!Array.isArray(last)) return false;
     if (pieces[last[0] + last[1]] !== piece) return false;
@@ -44,23 +45,23 @@
     return true;
   }
 
-  for (const piece of piecesOf(text)) {
-    if (extend(piece)) continue;
-    const place = places.get(piece);
+  for (const piece of splitIntoPieces(text)) {
+    if (extendLastPart(piece)) continue;
+    const index = indexes.get(piece);
     const last = parts.at(-1);
-    if (place !== undefined) parts.push([place, 1]);
+    if (index !== undefined) parts.push([index, 1]);
     else if (typeof last === 'string') parts[parts.length - 1] = last + piece;
     else parts.push(piece);
   }
   return parts;
 }
 
-/** The text that a difference makes of `base`. */
+/** Applies a difference to `base`. */
 export function applyDifference(
   base: string,
   difference: TextDifference,
 ): string {
-  const pieces = piecesOf(base);
+  const pieces = splitIntoPieces(base);
   return difference
     .map(part => {
       if (typeof part === 'string') return part;
