--- a/src/claims/attempt.ts
+++ b/src/claims/attempt.ts
@@ -147,7 +147,7 @@
     members.forEach((member, index) => {
       if (ballots[index] !== undefined) return;
       ballots[index] = {kind: 'unreachable'};
-      keeperClient.disconnect(member);
+      keeperClient.drop(member);
     });
     evaluate();
   }
--- a/src/claims/handover.ts
+++ b/src/claims/handover.ts
@@ -32,7 +32,7 @@
 interface Predecessor extends SealedState {
   readonly member: Keeper;
   readonly isAsked: boolean;
-  readonly isComplete: boolean;
+  readonly whole: boolean;
 }
 
 /** Milliseconds until an unreachable predecessor is asked again. */
@@ -52,9 +52,9 @@
     successor,
   ).map(member => {
     const own = options.ownState(member);
-    const isComplete = own !== undefined;
+    const whole = own !== undefined;
     const state = own ?? {active: false, quarantine: 0};
-    return {member, isAsked: isComplete, isComplete, ...state};
+    return {member, isAsked: whole, whole, ...state};
   });
 
   function update(index: number, change: Partial<Predecessor>): void {
@@ -67,7 +67,7 @@
   }
 
   function check(): void {
-    const sealed = predecessors.filter(predecessor => predecessor.isComplete);
+    const sealed = predecessors.filter(predecessor => predecessor.whole);
     if (isDone || sealed.length < needed) return;
     // A keeper that was never active in the epoch has none of the claims that
     // the epoch took over, so keepers of that kind alone are not enough.
@@ -78,11 +78,11 @@
   }
 
   function handleResponse(index: number, response: KeeperResponse): void {
-    if (isDone || predecessors[index]!.isComplete) return;
+    if (isDone || predecessors[index]!.whole) return;
     if (response.kind === 'sealed') {
       const {active, quarantine, last} = response;
       options.merge(response.records);
-      update(index, {active, quarantine, isComplete: last});
+      update(index, {active, quarantine, whole: last});
       if (last) check();
     }
     if (response.kind === 'unreachable' || response.kind === 'stranger') {
@@ -115,7 +115,7 @@
 
   /** Asks only as many as needed, since each sends all claims that it holds. */
   function askMajority(): void {
-    const ownCount = predecessors.filter(({isComplete}) => isComplete).length;
+    const ownCount = predecessors.filter(({whole}) => whole).length;
     const unasked = [...predecessors.keys()].filter(
       index => !predecessors[index]!.isAsked,
     );
--- a/src/claims/keeper-client.ts
+++ b/src/claims/keeper-client.ts
@@ -19,7 +19,7 @@
     receive: (response: KeeperResponse) => void,
   ): Subscription;
   /** Closes the link to a keeper that does not answer. */
-  disconnect(keeper: Keeper): void;
+  drop(keeper: Keeper): void;
   stop(): void;
 }
 
@@ -113,7 +113,7 @@
       send(keeper.address, connection, {id, incarnation, question});
       return {cancel: () => void connection.pending.delete(id)};
     },
-    disconnect(keeper) {
+    drop(keeper) {
       const connection = connections.get(keeper.address);
       const link = connection?.link;
       if (connection === undefined || link === undefined) return;
--- a/src/claims/keeper.ts
+++ b/src/claims/keeper.ts
@@ -123,7 +123,7 @@
           reply,
         );
       case 'inquire':
-        return reply(claims.status());
+        return reply(claims.standing());
     }
   }
 
@@ -166,9 +166,9 @@
       const mayBeMember = isMember || !safeguards.incarnation;
       if (!mayBeMember && !claimsByService.has(service)) return;
       const claims = findOrCreate(service);
-      const previousEpoch = claims.status().epoch;
+      const previousEpoch = claims.standing().epoch;
       claims.adopt(assignment);
-      if (claims.status().epoch === previousEpoch) return;
+      if (claims.standing().epoch === previousEpoch) return;
       log.info('keeper set adopted', {service, epoch: assignment.epoch});
     },
     async leave(limit) {
--- a/src/claims/service-claims.ts
+++ b/src/claims/service-claims.ts
@@ -90,7 +90,7 @@
   settle(settle: Settle): boolean;
   /** Ends an epoch at this keeper and returns its claims. */
   seal(epoch: number, successor: KeeperAssignment): SealedClaims;
-  status(): KeeperStatus;
+  standing(): KeeperStatus;
   sweep(): void;
   stop(): void;
   /** Whether this keeper is a member of the newest set that it knows. */
@@ -225,7 +225,7 @@
       if (safeguards.seal) adopt(successor);
       return result;
     },
-    status() {
+    standing() {
       const isHolding = phase() === 'active' || phase() === 'quarantined';
       return {kind: 'standing', epoch, active: isHolding};
     },
--- a/src/claims/settlement-sender.ts
+++ b/src/claims/settlement-sender.ts
@@ -15,7 +15,7 @@
 /** Sends settlements to keepers. */
 export interface SettlementSender {
   /** Sends a settlement to the keepers that were asked and to their successors. */
-  send(settle: Settle, contacted: readonly Keeper[]): void;
+  send(settle: Settle, asked: readonly Keeper[]): void;
 }
 
 /** Milliseconds until a settlement is sent again; doubled at each attempt. */
@@ -30,7 +30,7 @@
 ): SettlementSender {
   const {keeperClient, timers, members} = options;
 
-  function sendToAll(settle: Settle, contacted: readonly Keeper[]): void {
+  function sendToAll(settle: Settle, asked: readonly Keeper[]): void {
     const isRelease = settle.settlement.kind === 'released';
     const limit = isRelease ? maxReleasePause : maxPause;
     const confirmed = new Set<string>();
@@ -39,14 +39,15 @@
       const subscription = keeperClient.ask(keeper, settle, ({kind}) => {
         subscription.cancel();
         if (kind === 'settled' || kind === 'stranger')
-          confirmed.add(idOf(keeper));
+          confirmed.add(nameOf(keeper));
       });
     }
 
     function sendRound(pause: number): void {
       const remaining = new Map<string, Keeper>();
-      for (const keeper of [...contacted, ...members(settle.service)]) {
-        if (!confirmed.has(idOf(keeper))) remaining.set(idOf(keeper), keeper);
+      for (const keeper of [...asked, ...members(settle.service)]) {
+        if (!confirmed.has(nameOf(keeper)))
+          remaining.set(nameOf(keeper), keeper);
       }
       if (remaining.size === 0 || pause > limit) return;
       for (const keeper of remaining.values()) sendToOne(keeper);
@@ -59,6 +60,6 @@
   return {send: sendToAll};
 }
 
-function idOf({address, incarnation}: Keeper): string {
+function nameOf({address, incarnation}: Keeper): string {
   return `${address}/${incarnation}`;
 }
--- a/src/configuration/answer-table.test.ts
+++ b/src/configuration/answer-table.test.ts
@@ -137,7 +137,7 @@
   t.is(without.machine.current().services.get('crewbook')?.slowStart, 1);
 });
 
-// Failure: a resend of an operator that was dropped from the table runs again,
+// Failure: a resend (sequence 3 of amina) runs again after its operator was dropped,
 // because it looks like the command of a new operator. The floor of dropped
 // operators applies to all operators that are not in the table.
 test('a resend of a dropped operator is never run again', t => {
