--- a/src/claims/attempt-result.ts
+++ b/src/claims/attempt-result.ts
@@ -7,7 +7,10 @@
 /** Either the end of an acquisition, or a reason for another attempt. */
 export type AttemptResult =
   | {readonly kind: 'end'; readonly acquisition: Acquisition}
-  /** Retry under a new claim id after `pause` milliseconds; the last was released. */
+  /**
+   * Retry under a new claim id after `pause` milliseconds; the last was
+   * released.
+   */
   | {readonly kind: 'again'; readonly pause: number}
   /** Retry under the same claim id; the keeper set is changing. */
   | {readonly kind: 'stale'};
--- a/src/claims/attempt.ts
+++ b/src/claims/attempt.ts
@@ -32,7 +32,9 @@
 
 /** Milliseconds after the request's deadline until the claim expires. */
 const leaseExtension = 2000;
-/** Milliseconds over which gates that compete for a key spread their retries. */
+/**
+ * Milliseconds over which gates that compete for a key spread their retries.
+ */
 const maxRetryDelay = 20;
 /** Seconds after which a full keeper may have dropped some claims. */
 const fullRetryAfter = 5;
@@ -89,7 +91,9 @@
     finish(grant(settle, options.answerLimit));
   }
 
-  /** Releases the votes, so that two competing claims do not block each other. */
+  /**
+   * Releases the votes, so that two competing claims do not block each other.
+   */
   function waitForOther(): void {
     settle({kind: 'released'});
     isWaitingForOther = true;
--- a/src/claims/claim-table.test.ts
+++ b/src/claims/claim-table.test.ts
@@ -27,9 +27,9 @@
   return {kind: 'answered', answer};
 }
 
-// Failure: a keeper with few claims uses gigabytes of memory. The received bytes
-// of an answer are a view of the socket's chunk, and a stored view keeps the
-// whole chunk in memory.
+// Failure: a keeper with few claims uses gigabytes of memory. The received
+// bytes of an answer are a view of the socket's chunk, and a stored view keeps
+// the whole chunk in memory.
 test('a stored answer does not share memory with the received bytes', t => {
   const {table} = start();
   const chunk = Buffer.alloc(65_536, 'booked');
@@ -52,8 +52,8 @@
   t.deepEqual([...vote.answer!.body], [...body]);
 });
 
-// Failure: a key is blocked although no gate runs its work. A gate gives up, and
-// its release overtakes its acquire message on a newer link.
+// Failure: a key is blocked although no gate runs its work. A gate gives up,
+// and its release overtakes its acquire message on a newer link.
 test('a claim that was released before its acquire arrives is not granted', t => {
   const {table} = start();
   table.settle(settle('key', 'a', {kind: 'released'}));
--- a/src/claims/claim-table.ts
+++ b/src/claims/claim-table.ts
@@ -15,7 +15,9 @@
 
 /** Limits of a table. */
 export interface ClaimLimits {
-  /** Time that a claim is kept after it was made or settled, in milliseconds. */
+  /**
+   * Time that a claim is kept after it was made or settled, in milliseconds.
+   */
   readonly retention: number;
   /** Maximum number of claims. Further claims are refused; none is evicted. */
   readonly claims: number;
@@ -28,7 +30,9 @@
 
 /** The claims of one service. */
 export interface ClaimTable {
-  /** Votes on a claim; `watcher` is registered when another claim holds the key. */
+  /**
+   * Votes on a claim; `watcher` is registered when another claim holds the key.
+   */
   vote(acquire: Acquire, watcher?: Watcher): Vote;
   settle(settle: Settle): void;
   /** All claims, to be copied to another keeper; generated lazily. */
@@ -37,7 +41,9 @@
   merge(records: readonly ClaimRecord[]): void;
   /** Restores the order by age after merges. */
   sort(): void;
-  /** Removes claims past their retention and notifies watchers of expired ones. */
+  /**
+   * Removes claims past their retention and notifies watchers of expired ones.
+   */
   sweep(): void;
   readonly size: number;
 }
@@ -50,8 +56,8 @@
 
 /**
  * An answer in memory. Its body is a string with one character per byte: the
- * received bytes are a view of the socket's whole chunk and would keep all of it
- * in memory, and a separate buffer costs more memory than a small body.
+ * received bytes are a view of the socket's whole chunk and would keep all of
+ * it in memory, and a separate buffer costs more memory than a small body.
  */
 interface CompactAnswer {
   readonly status: number;
--- a/src/claims/claims.ts
+++ b/src/claims/claims.ts
@@ -38,7 +38,9 @@
   release(): void;
   /** The run ended. Resends get this answer if it is within the size limit. */
   complete(answer: StoredAnswer): void;
-  /** The run may have begun; resends are answered that its outcome is unknown. */
+  /**
+   * The run may have begun; resends are answered that its outcome is unknown.
+   */
   abandon(): void;
 }
 
@@ -48,7 +50,9 @@
   | {readonly kind: 'answered'; readonly answer: StoredAnswer}
   | {
       readonly kind: 'refused';
-      /** Its effect describes this request only, not earlier ones with the key. */
+      /**
+       * Its effect describes this request only, not earlier ones with the key.
+       */
       readonly code: Code;
       readonly message: string;
       /** Seconds after which a resend makes sense. */
--- a/src/claims/create-claims.test.ts
+++ b/src/claims/create-claims.test.ts
@@ -74,8 +74,8 @@
   t.is(cluster.runs.get('key'), 1);
 });
 
-// Failure: work runs twice after a crash of its gate. The gate crashes at one of
-// three moments while it holds the claim, and the resend arrives at another
+// Failure: work runs twice after a crash of its gate. The gate crashes at one
+// of three moments while it holds the claim, and the resend arrives at another
 // gate, which can't know whether the first request reached the upstream.
 for (const behavior of [
   'die-before-run',
@@ -177,9 +177,9 @@
   return cluster.runs.get('key') ?? 0;
 }
 
-// Failure: two bookings for one key. A partition separates gate a with one keeper
-// from gate b with the two others. If one vote were enough, both would run; only
-// one side can have a majority.
+// Failure: two bookings for one key. A partition separates gate a with one
+// keeper from gate b with the two others. If one vote were enough, both would
+// run; only one side can have a majority.
 test('a partition leads to two bookings only if no majority is required', async t => {
   t.is(await bookAcrossPartition({votesNeeded: () => 1}), 2);
   t.is(await bookAcrossPartition({}), 1);
@@ -222,9 +222,9 @@
   t.is(await resolve(cluster, outcome), 'keepers-unavailable not-run');
 });
 
-// Failure: all bookings are refused permanently. The upstream announces an id that
-// it has chosen itself, the set contains such ids, and no keeper finds itself in
-// it. A keeper must identify itself by its address and incarnation.
+// Failure: all bookings are refused permanently. The upstream announces an id
+// that it has chosen itself, the set contains such ids, and no keeper finds
+// itself in it. A keeper must identify itself by its address and incarnation.
 test('a keeper votes regardless of the id that its upstream has chosen', async t => {
   const cluster = createClaimCluster();
   const members = [];
--- a/src/claims/create-claims.ts
+++ b/src/claims/create-claims.ts
@@ -43,7 +43,10 @@
 
 const defaultVoteTimeout = 1000;
 const defaultAnswerLimit = 4096;
-/** Milliseconds between attemptOptions while the keeper set changes; doubled each time. */
+/**
+ * Milliseconds between attempts while the keeper set changes; doubled each
+ * time.
+ */
 const minStalePause = 10;
 const maxStalePause = 40;
 
--- a/src/claims/handover.ts
+++ b/src/claims/handover.ts
@@ -17,7 +17,9 @@
   readonly service: string;
   readonly previous: KeeperSet;
   readonly successor: KeeperAssignment;
-  /** State in the previous set if `member` is this keeper; otherwise undefined. */
+  /**
+   * State in the previous set if `member` is this keeper; otherwise undefined.
+   */
   ownState(member: Keeper): SealedState | undefined;
   readonly keeperClient: KeeperClient;
   readonly timers: Timers;
--- a/src/claims/keeper-client.ts
+++ b/src/claims/keeper-client.ts
@@ -31,7 +31,9 @@
   readonly pending: Map<number, (response: KeeperResponse) => void>;
 }
 
-/** Milliseconds after a failed connection during which questions fail at once. */
+/**
+ * Milliseconds after a failed connection during which questions fail at once.
+ */
 const reconnectDelay = 200;
 
 /** Creates the client through which one process asks keepers. */
--- a/src/claims/keeper.ts
+++ b/src/claims/keeper.ts
@@ -53,7 +53,9 @@
 const sweepPeriod = 1000;
 /** Milliseconds between two checks whether the keeper is still a member. */
 const leavePollPeriod = 50;
-/** Milliseconds that the next set needs to seal the set that this keeper left. */
+/**
+ * Milliseconds that the next set needs to seal the set that this keeper left.
+ */
 const handoverTime = 500;
 /** Claims per page; the node handles its requests between two pages. */
 const recordsPerPage = 160;
--- a/src/claims/messages.ts
+++ b/src/claims/messages.ts
@@ -43,7 +43,9 @@
   readonly successor: KeeperAssignment;
 }
 
-/** Request of the leader for a keeper's status, before it assigns another set. */
+/**
+ * Request of the leader for a keeper's status, before it assigns another set.
+ */
 export interface Inquire {
   readonly kind: 'inquire';
   readonly service: string;
@@ -84,7 +86,9 @@
   | {readonly kind: 'quarantined'; readonly left: number}
   | {readonly kind: 'full'};
 
-/** Notifies a waiting gate that the claim with its key is settled or expired. */
+/**
+ * Notifies a waiting gate that the claim with its key is settled or expired.
+ */
 export interface Notice {
   readonly kind: 'notice';
   readonly settlement: Settlement | {readonly kind: 'expired'};
--- a/src/claims/service-claims.test.ts
+++ b/src/claims/service-claims.test.ts
@@ -65,9 +65,9 @@
   return cluster.runs.get('key') ?? 0;
 }
 
-// Failure: two bookings for one key. The keepers that voted for the first booking
-// are replaced, and the new ones do not have its claim. In the handover each new
-// keeper copies the claims of a sealed majority of the previous set.
+// Failure: two bookings for one key. The keepers that voted for the first
+// booking are replaced, and the new ones do not have its claim. In the handover
+// each new keeper copies the claims of a sealed majority of the previous set.
 test('a change of keepers leads to two bookings only without the handover', async t => {
   t.is(await bookAcrossReplacements({keeperSafeguards: {handover: false}}), 2);
   t.is(await bookAcrossReplacements({}), 1);
@@ -90,10 +90,10 @@
   t.is(cluster.runs.get('key'), 1);
 });
 
-// Failure: a booking is lost or runs twice because the keepers change while it is
-// in progress and the caller resends it. Gate a still uses epoch 1 after k2 and
-// k3 were sealed for epoch 2; it must retry in epoch 2, where the resend is.
-// Either of the two may run; the other one gets its answer.
+// Failure: a booking is lost or runs twice because the keepers change while it
+// is in progress and the caller resends it. Gate a still uses epoch 1 after k2
+// and k3 were sealed for epoch 2; it must retry in epoch 2, where the resend
+// is. Either of the two may run; the other one gets its answer.
 test('a gate with an old epoch neither loses a key nor runs one twice', async t => {
   const cluster = await startSet();
   const [a, b] = [cluster.startGate('a'), cluster.startGate('b')];
@@ -127,9 +127,9 @@
 });
 
 // Two of three keepers lost their claims, and those of k3 alone are incomplete.
-// The next set waits for the retention time, after which no lost claim is resent
-// any more. Until then it refuses keyed requests as not run, with a separate
-// code.
+// The next set waits for the retention time, after which no lost claim is
+// resent any more. Until then it refuses keyed requests as not run, with a
+// separate code.
 test('after a loss the next set votes only after the retention time', async t => {
   const cluster = await startSet({retention: 60_000});
   cluster.killKeeper('k1');
@@ -177,9 +177,9 @@
   t.is(cluster.keepers.get('k4')!.keeper.size, 600);
 });
 
-// Failure: keyed requests are refused during a partition from control. The leader
-// replaced k1, and only k4 received the new set. k4 sends the set to k2 and k3
-// with its seal, and they report it to the gate.
+// Failure: keyed requests are refused during a partition from control. The
+// leader replaced k1, and only k4 received the new set. k4 sends the set to k2
+// and k3 with its seal, and they report it to the gate.
 test('a gate that is cut off from control learns of a new set from keepers', async t => {
   const cluster = await startSet();
   const gate = cluster.startGate('a');
@@ -195,9 +195,9 @@
 });
 
 /**
- * The set changes from k1, k2, k3 to k4, k2, k3. Gate a and k1, whose links from
- * the other keepers are cut, have not received the new set, and gate a can't
- * reach k3. Gate b has received it and can't reach k2. Both gates book.
+ * The set changes from k1, k2, k3 to k4, k2, k3. Gate a and k1, whose links
+ * from the other keepers are cut, have not received the new set, and gate a
+ * can't reach k3. Gate b has received it and can't reach k2. Both gates book.
  */
 async function bookInTwoEpochs(options: ClusterOptions): Promise<number> {
   const cluster = await startSet(options);
@@ -216,20 +216,20 @@
   return cluster.runs.get('key') ?? 0;
 }
 
-// Failure: two bookings for one key through two gates. The set changes during the
-// acquisitions: gate a counts the vote of k1 in the old set with that of k2 in
-// the new one, and gate b has k3 and k4. A majority may count votes of one epoch
-// only.
+// Failure: two bookings for one key through two gates. The set changes during
+// the acquisitions: gate a counts the vote of k1 in the old set with that of k2
+// in the new one, and gate b has k3 and k4. A majority may count votes of one
+// epoch only.
 test('a change of keepers during claims books twice only without epochs', async t => {
   t.is(await bookInTwoEpochs({keeperSafeguards: {epoch: false}}), 2);
   t.is(await bookInTwoEpochs({}), 1);
 });
 
 /**
- * Epoch 2 is k4, k2, k3; k4 is cut off while it synchronizes. Epoch 3 is k4, k2,
- * k5, and only k5 and k2 receive it: they seal k4 but can't reach k3. Then k4
- * reaches k1 and k3 and completes its synchronization of epoch 2. Gate a still
- * uses epoch 2, and gate b uses epoch 3.
+ * Epoch 2 is k4, k2, k3; k4 is cut off while it synchronizes. Epoch 3 is k4,
+ * k2, k5, and only k5 and k2 receive it: they seal k4 but can't reach k3. Then
+ * k4 reaches k1 and k3 and completes its synchronization of epoch 2. Gate a
+ * still uses epoch 2, and gate b uses epoch 3.
  */
 async function bookBehindSeal(options: ClusterOptions): Promise<number> {
   const cluster = await startSet(options);
@@ -257,19 +257,19 @@
   return cluster.runs.get('key') ?? 0;
 }
 
-// Failure: two bookings for one key. k4 is sealed in an epoch before it is active
-// in it. Then it becomes active in that epoch and votes for a gate with the old
-// set, while the next set already votes. The seal must hold for a keeper that
-// completes its synchronization late.
+// Failure: two bookings for one key. k4 is sealed in an epoch before it is
+// active in it. Then it becomes active in that epoch and votes for a gate with
+// the old set, while the next set already votes. The seal must hold for a
+// keeper that completes its synchronization late.
 test('a sealed keeper that synchronizes late allows a second run only without the seal', async t => {
   t.is(await bookBehindSeal({keeperSafeguards: {seal: false}}), 2);
   t.is(await bookBehindSeal({}), 1);
 });
 
 // Failure: two bookings for one key. k1 and k2 voted for the first, and k1
-// crashes. k2 receives epoch 3 before epoch 2, in which it is a member too. Then
-// k3 and k4 start epoch 2 and ask k2 for its claims of epoch 1, which it had
-// dropped when it adopted epoch 3. 1500 random interleavings showed this.
+// crashes. k2 receives epoch 3 before epoch 2, in which it is a member too.
+// Then k3 and k4 start epoch 2 and ask k2 for its claims of epoch 1, which it
+// had dropped when it adopted epoch 3. 1500 random interleavings showed this.
 test('a keeper that skips an epoch keeps the claims that the epoch needs', async t => {
   const cluster = await startSet();
   const {network, timers} = cluster;
@@ -302,10 +302,11 @@
   t.is(cluster.runs.get('key'), 1);
 });
 
-// Failure: a booking that was sent only once is refused as still running. Gate a
-// has the vote of k2 when k3 is already between two epochs, and k3 and k4 copy
-// that vote from k2. A retry under another claim id would conflict with the first
-// attempt at both of them. The benchmark of changing keepers showed this.
+// Failure: a booking that was sent only once is refused as still running. Gate
+// a has the vote of k2 when k3 is already between two epochs, and k3 and k4
+// copy that vote from k2. A retry under another claim id would conflict with
+// the first attempt at both of them. The benchmark of changing keepers showed
+// this.
 test('a claim does not conflict with itself when the keepers change', async t => {
   const cluster = await startSet();
   const {network, timers} = cluster;
--- a/src/claims/service-claims.ts
+++ b/src/claims/service-claims.ts
@@ -51,7 +51,9 @@
 export interface KeeperSafeguards {
   /** A keeper answers only messages to its own incarnation. */
   readonly incarnation: boolean;
-  /** The previous set is sealed and its claims are copied before the first vote. */
+  /**
+   * The previous set is sealed and its claims are copied before the first vote.
+   */
   readonly handover: boolean;
   /** A sealed keeper neither votes in the epoch nor becomes active in it. */
   readonly seal: boolean;
@@ -86,7 +88,10 @@
   /** Takes a newer keeper set; ignores an older one. */
   adopt(assignment: KeeperAssignment): void;
   vote(acquire: Acquire, watcher: Watcher): Vote;
-  /** Records how a claim ended; false if the keeper never had a set of the service. */
+  /**
+   * Records how a claim ended; false if the keeper never had a set of the
+   * service.
+   */
   settle(settle: Settle): boolean;
   /** Ends an epoch at this keeper and returns its claims. */
   seal(epoch: number, successor: KeeperAssignment): SealedClaims;
@@ -184,8 +189,9 @@
     }
     leftAt = undefined;
     const {previous} = assignment;
-    // The claims stay in the table even if this keeper was no member in between:
-    // keepers that still take over an earlier epoch ask for its claims.
+    // The claims stay in the table even if this keeper was no member in
+    // between: keepers that still take over an earlier epoch ask for its
+    // claims.
     actor.send('adopt');
     if (previous === undefined) return activate(assignment.quarantine ?? 0);
     if (safeguards.handover) takeOver(previous, assignment);
@@ -221,7 +227,8 @@
         quarantine: remainingQuarantine(),
         records: active ? table.records() : [],
       };
-      // This keeper may be cut off from control, so it adopts the set right away.
+      // This keeper may be cut off from control, so it adopts the set right
+      // away.
       if (safeguards.seal) adopt(successor);
       return result;
     },
@@ -246,9 +253,9 @@
 
 /**
  * Whether two descriptions mean the same incarnation of the same node. The
- * instance's id is not compared: the upstream may choose it after the keeper has
- * started, and a keeper that did not recognize itself in its set would never
- * vote.
+ * instance's id is not compared: the upstream may choose it after the keeper
+ * has started, and a keeper that did not recognize itself in its set would
+ * never vote.
  */
 export function isSameIncarnation(left: Keeper, right: Keeper): boolean {
   if (left.address !== right.address) return false;
--- a/src/claims/settlement-sender.ts
+++ b/src/claims/settlement-sender.ts
@@ -1,4 +1,6 @@
-/** Sends settlements of claims to keepers until each keeper has confirmed them. */
+/**
+ * Sends settlements of claims to keepers until each keeper has confirmed them.
+ */
 import type {Keeper} from '../configuration/configuration.js';
 import type {Timers} from '../time/timers.js';
 import type {Settle} from './messages.js';
@@ -8,13 +10,17 @@
 export interface SettlementSenderOptions {
   readonly keeperClient: KeeperClient;
   readonly timers: Timers;
-  /** The service's current keepers, which may have replaced those asked before. */
+  /**
+   * The service's current keepers, which may have replaced those asked before.
+   */
   readonly members: (service: string) => readonly Keeper[];
 }
 
 /** Sends settlements to keepers. */
 export interface SettlementSender {
-  /** Sends a settlement to the keepers that were asked and to their successors. */
+  /**
+   * Sends a settlement to the keepers that were asked and to their successors.
+   */
   send(settle: Settle, asked: readonly Keeper[]): void;
 }
 
--- a/src/claims/vote-count.ts
+++ b/src/claims/vote-count.ts
@@ -50,7 +50,10 @@
   return {kind: missing > 0 ? 'pending' : 'unavailable'};
 }
 
-/** Only the gate that ran a claim settles it, so the vote of one keeper is enough. */
+/**
+ * Only the gate that ran a claim settles it, so the vote of one keeper is
+ * enough.
+ */
 function isDecisive(ballot: Ballot | undefined): boolean {
   switch (ballot?.kind) {
     case 'answered':
--- a/src/configuration/answer-table.test.ts
+++ b/src/configuration/answer-table.test.ts
@@ -46,10 +46,10 @@
   await propose(group, 'control-1', command(2, 1));
 }
 
-// Failure: a resend is refused as a conflict with its own first run. A change that
-// expects version 1 is accepted as version 2, its answer is lost with the leader,
-// and the operator resends it to the next leader. The answer must be version 2;
-// without the table the expected version is compared with version 2.
+// Failure: a resend is refused as a conflict with its own first run. A change
+// that expects version 1 is accepted as version 2, its answer is lost with the
+// leader, and the operator resends it to the next leader. The answer must be
+// version 2; without the table the expected version is compared with version 2.
 for (const [name, prepare] of [
   ['a leader change', (group: Group) => group.lead('control-2')],
   [
@@ -116,8 +116,8 @@
   );
 });
 
-// Failure: a resend restores a value that later changes have replaced. The table
-// keeps few answers per operator, and a resend older than these can't be
+// Failure: a resend restores a value that later changes have replaced. The
+// table keeps few answers per operator, and a resend older than these can't be
 // distinguished from a new command. The operator's floor refuses it with a
 // separate code.
 test('a resend older than the table is refused and never run again', t => {
@@ -137,9 +137,9 @@
   t.is(without.machine.current().services.get('crewbook')?.slowStart, 1);
 });
 
-// Failure: a resend (sequence 3 of amina) runs again after its operator was dropped,
-// because it looks like the command of a new operator. The floor of dropped
-// operators applies to all operators that are not in the table.
+// Failure: a resend (sequence 3 of amina) runs again after its operator was
+// dropped, because it looks like the command of a new operator. The floor of
+// dropped operators applies to all operators that are not in the table.
 test('a resend of a dropped operator is never run again', t => {
   const {send, machine} = createLoggedMachine({operators: 2});
   send(command(3));
@@ -154,9 +154,9 @@
   t.is(machine.current().services.get('crewbook')?.slowStart, 6);
 });
 
-// Failure: a change is reported as accepted although it never ran. A script sends
-// two different changes with the same id, and the second gets the answer of the
-// first.
+// Failure: a change is reported as accepted although it never ran. A script
+// sends two different changes with the same id, and the second gets the answer
+// of the first.
 test('an id that was used for another command is refused', t => {
   const other = {...command(1), edits: [putService('drillvault')]};
   const {send, machine} = createLoggedMachine();
--- a/src/configuration/answer-table.ts
+++ b/src/configuration/answer-table.ts
@@ -15,7 +15,10 @@
 /** The answers kept for one operator. */
 export interface OperatorAnswers {
   readonly operator: string;
-  /** Commands with a sequence up to this one are refused, whether they ran or not. */
+  /**
+   * Commands with a sequence up to this one are refused, whether they ran or
+   * not.
+   */
   readonly floor: number;
   /** Ordered by sequence. */
   readonly recorded: readonly RecordedAnswer[];
@@ -42,18 +45,20 @@
  * does not run again. The table is part of the replicated state, because a
  * resend may arrive at another leader, or after a snapshot or a restart.
  *
- * The size of the table is bounded. A sequence that was dropped from it can't be
- * distinguished from one that was never received, and running it could apply a
- * change twice. Therefore each operator has a floor, the highest dropped
+ * The size of the table is bounded. A sequence that was dropped from it can't
+ * be distinguished from one that was never received, and running it could apply
+ * a change twice. Therefore each operator has a floor, the highest dropped
  * sequence, and no command at or below it runs. When a whole operator is
- * dropped, its highest sequence raises the floor that is shared by all operators
- * that are not in the table. This bounds the memory and still never runs a
- * dropped sequence.
+ * dropped, its highest sequence raises the floor that is shared by all
+ * operators that are not in the table. This bounds the memory and still never
+ * runs a dropped sequence.
  */
 export interface AnswerTable {
   /** The answer if the command must not run; otherwise undefined. */
   find(command: Command, version: number): Answer | undefined;
-  /** Records the first answer to a command for which `find` returned undefined. */
+  /**
+   * Records the first answer to a command for which `find` returned undefined.
+   */
   record(command: Command, answer: Answer, bounds: Bounds): void;
   state(): AnswerTableState;
 }
--- a/src/configuration/compression.ts
+++ b/src/configuration/compression.ts
@@ -4,7 +4,10 @@
 /** Minimum size in bytes; smaller data fits into one network packet anyway. */
 const minSize = 1024;
 
-/** Fastest level; it compresses a 425 kB configuration to 38 kB in 3 ms of a core. */
+/**
+ * Fastest level; it compresses a 425 kB configuration to 38 kB in 3 ms of a
+ * core.
+ */
 const level = 1;
 
 /** Maximum decompressed size, so that damaged data can't fill the memory. */
--- a/src/configuration/create-configuration-machine.test.ts
+++ b/src/configuration/create-configuration-machine.test.ts
@@ -125,9 +125,9 @@
 });
 
 // Failure: the states of two control processes diverge permanently. They are
-// restarted with a larger limit one after the other, and if each applied entries
-// with its own limit, one would accept an item that the other refuses. Each entry
-// contains the bounds of its proposer, so both apply the same ones.
+// restarted with a larger limit one after the other, and if each applied
+// entries with its own limit, one would accept an item that the other refuses.
+// Each entry contains the bounds of its proposer, so both apply the same ones.
 test('processes with different limits have the same state', t => {
   const large = createSampleMachine({services: 100, answers: 8, history: 9});
   const small = createSampleMachine({services: 1, answers: 1, history: 1});
--- a/src/configuration/limits.ts
+++ b/src/configuration/limits.ts
@@ -19,7 +19,7 @@
   readonly drains: number;
   /** Maximum number of quarantines. */
   readonly quarantines: number;
-  /** Number of operators, the most recently active, whose answers are stored. */
+  /** Number of operators, most recently active, whose answers are stored. */
   readonly operators: number;
   /** Number of answers, those of the highest sequences, stored per operator. */
   readonly answers: number;
@@ -43,7 +43,7 @@
   readonly attempts: number;
   /** Maximum body limit of a policy, in bytes. */
   readonly bodyLimit: number;
-  /** Maximum time by which a sequence is ahead of the clock, in milliseconds. */
+  /** Maximum lead of a sequence over the clock, in milliseconds. */
   readonly sequenceAhead: number;
 }
 
--- a/src/configuration/logged-revisions.test.ts
+++ b/src/configuration/logged-revisions.test.ts
@@ -16,9 +16,9 @@
 const routeCount = 2_400;
 
 function itemsOf(changed: number): Item[] {
-  const routes = Array.from({length: routeCount}, (_, at) => {
-    const prefix = at === 7 ? `/changed/${changed}` : `/r/${at}`;
-    return putRoute(`route-${at}`, 'stock-desk', 'lookups', prefix);
+  const routes = Array.from({length: routeCount}, (_, index) => {
+    const prefix = index === 7 ? `/changed/${changed}` : `/r/${index}`;
+    return putRoute(`route-${index}`, 'stock-desk', 'lookups', prefix);
   });
   const edits = [putService('stock-desk'), putPolicy('lookups'), ...routes];
   return edits.flatMap(edit => (edit.action === 'put' ? [edit.item] : []));
@@ -87,7 +87,7 @@
   put(revision(1, 0));
   put(revision(2, 1));
   const next = createSampleMachine();
-  log.forEach((entry, at) => next.apply(at + 1, entry));
+  log.forEach((entry, index) => next.apply(index + 1, entry));
   t.is(apply(next.prepareReplacement(revision(5, 2), 0)), ok);
   t.is(machine.revision()!.document, revision(5, 2).document);
 });
@@ -115,11 +115,11 @@
   put(revision(1, 0));
   put(revision(2, 1));
   const old = createSampleMachine();
-  log.forEach((bytes, at) => {
+  log.forEach((bytes, index) => {
     const entry = decodeEntry(bytes) as ReplacementEntry;
-    const {document} = revision(at + 1, at);
+    const {document} = revision(index + 1, index);
     const replacement = {...entry.replacement, document};
-    old.apply(at + 1, encodeEntry({...entry, replacement}));
+    old.apply(index + 1, encodeEntry({...entry, replacement}));
   });
   t.is(old.digest(), machine.digest());
 });
@@ -135,7 +135,8 @@
   const document = revision(1, 0).document.replace('/r/1000', '/r/1x00');
   const replacement = {...entry.replacement, document};
   damaged.apply(1, encodeEntry({...entry, replacement}));
-  // The test runner does not accept errors of the error library as native errors.
+  // The test runner does not accept errors of the error library as native
+  // errors.
   const error: unknown = t.throws(() => damaged.apply(2, log[1]!), {any: true});
   t.is((error as Failure).code, codes.documentDamaged);
 });
--- a/src/configuration/snapshot.test.ts
+++ b/src/configuration/snapshot.test.ts
@@ -41,10 +41,11 @@
   return {operator, sequence, edits};
 }
 
-// Failure: a leader accepts a change twice or refuses it wrongly. A control process
-// was down for hundreds of changes and then receives a snapshot and the rest of
-// the log. Its state, including answers and history, must equal that of a process
-// that applied the whole log; a difference shows only when it becomes leader.
+// Failure: a leader accepts a change twice or refuses it wrongly. A control
+// process was down for hundreds of changes and then receives a snapshot and the
+// rest of the log. Its state, including answers and history, must equal that of
+// a process that applied the whole log; a difference shows only when it becomes
+// leader.
 test('a snapshot and the rest of the log give the digest of the whole log', t => {
   const random = createRandom(7);
   const {machine, log, send} = createLoggedMachine(limits);
--- a/src/configuration/sort-keys.ts
+++ b/src/configuration/sort-keys.ts
@@ -1,7 +1,7 @@
 /**
- * Copies a value with sorted keys and without undefined members. Equal values are
- * then encoded as equal bytes, regardless of the codec or process that created
- * them.
+ * Copies a value with sorted keys and without undefined members. Equal values
+ * are then encoded as equal bytes, regardless of the codec or process that
+ * created them.
  */
 export function sortKeys(value: unknown): unknown {
   if (Array.isArray(value)) return value.map(sortKeys);
--- a/src/configuration/system-name.test.ts
+++ b/src/configuration/system-name.test.ts
@@ -33,8 +33,8 @@
   t.deepEqual(current(), {...value, slowStart: 500});
 });
 
-// Failure: a second booking for one key. An operator's client puts a service with
-// other keepers, which do not have its claims.
+// Failure: a second booking for one key. An operator's client puts a service
+// with other keepers, which do not have its claims.
 test('an operator can neither set keepers nor use a name of the system', t => {
   const sample = createLoggedMachine();
   sample.edit([putKeepers({name: 'stock-desk', slowStart: 0, keepers})]);
@@ -45,10 +45,10 @@
   t.is(checked.ok ? 0 : checked.code, configurationCodes.operatorReserved);
 });
 
-// Failure: an operator gets a conflict although no other operator changed anything.
-// The operator reads the version, the system assigns keepers, and the operator's
-// change expects the version that was read. Only changes by operators conflict,
-// also after a snapshot.
+// Failure: an operator gets a conflict although no other operator changed
+// anything. The operator reads the version, the system assigns keepers, and the
+// operator's change expects the version that was read. Only changes by
+// operators conflict, also after a snapshot.
 test('an assignment of keepers is no conflict for an operator', t => {
   const sample = createLoggedMachine();
   const first = sample.edit([putService('stock-desk')]);
--- a/src/configuration/system-proposer.ts
+++ b/src/configuration/system-proposer.ts
@@ -29,7 +29,9 @@
   const {operator, consensus, machine, clock} = options;
   let lastSequence = 0;
 
-  /** A unique sequence: the clock in microseconds, as in operators' sequences. */
+  /**
+   * A unique sequence: the clock in microseconds, as in operators' sequences.
+   */
   function nextSequence(): number {
     const time = Math.floor(clock.wall() * 1000);
     lastSequence = Math.max(time, lastSequence + 1);
--- a/src/configuration/text-difference.test.ts
+++ b/src/configuration/text-difference.test.ts
@@ -4,9 +4,9 @@
 
 /** The text of a revision with `count` routes. */
 function textOf(count: number, change = ''): string {
-  const routes = Array.from({length: count}, (_, at) => {
-    const prefix = at === count - 1 ? `/last${change}/` : `/r${at}/`;
-    return `"r${at}":{"prefix":"${prefix}","service":"desk"}`;
+  const routes = Array.from({length: count}, (_, index) => {
+    const prefix = index === count - 1 ? `/last${change}/` : `/r${index}/`;
+    return `"r${index}":{"prefix":"${prefix}","service":"desk"}`;
   });
   return `{"base":1,"routes":{${routes.join(',')}},"version":2}`;
 }
--- a/src/configuration/text-difference.ts
+++ b/src/configuration/text-difference.ts
@@ -13,11 +13,11 @@
 const pieceEnd = /[}\n]/g;
 
 /**
- * Splits a text into pieces. A revision is JSON with hundreds of objects, of which
- * a change affects a few, and a piece of the base is found by one look-up. For
- * 425 kB it takes 3 to 5 ms of one core to compute a difference and 1.3 to 1.6 ms
- * to apply it. A library that compares bytes took 10 to 14 ms to apply it, at each
- * member.
+ * Splits a text into pieces. A revision is JSON with hundreds of objects, of
+ * which a change affects a few, and a piece of the base is found by one
+ * look-up. For 425 kB it takes 3 to 5 ms of one core to compute a difference
+ * and 1.3 to 1.6 ms to apply it. A library that compares bytes took 10 to 14 ms
+ * to apply it, at each member.
  */
 function splitIntoPieces(text: string): string[] {
   const pieces: string[] = [];
