--- a/scenarios/stage.ts
+++ b/scenarios/stage.ts
@@ -1,5 +1,5 @@
 /** The stage of a scenario: three control VMs, nodes and operators. */
-import {decodeAnswer} from '../src/configuration/entry.js';
+import {decodeAnswer} from '../src/configuration/log-entry.js';
 import type {Answer, Command, Edit} from '../src/configuration/messages.js';
 import {createHomeConnection} from '../src/distribution/home-connection.js';
 import type {HomeConnection} from '../src/distribution/home-connection.js';
--- a/src/configuration/answer-table.test.ts
+++ b/src/configuration/answer-table.test.ts
@@ -6,8 +6,12 @@
   ConfigurationMachine,
   MachineSafeguards,
 } from './create-configuration-machine.js';
-import {decodeAnswer} from './entry.js';
-import {createSample, createSampleMachine, putService} from './fakes/sample.js';
+import {decodeAnswer} from './log-entry.js';
+import {
+  createLoggedMachine,
+  createSampleMachine,
+  putService,
+} from './fakes/sample.js';
 import type {Answer, Command} from './messages.js';
 
 const names = ['control-1', 'control-2', 'control-3'];
@@ -35,17 +39,17 @@
   edits: [putService('crewbook', sequence)],
 });
 
-/** Commits a change under version 1 and loses its answer. */
+/** Commits a change that expects version 1 and loses its answer. */
 async function loseAnswer(group: Group): Promise<void> {
   await propose(group, 'control-1', command(1));
   group.planOutcomes('commit-and-lose');
   await propose(group, 'control-1', command(2, 1));
 }
 
-// The operator's change under expected version 1 is accepted as version 2, the
-// answer is lost with the leader, and the operator resends to the next leader.
-// The resend must be told of version 2. Without the table it is compared with
-// the version that its own first run made, and is told that it lost a race.
+// Failure: a resend is refused as a conflict with its own first run. A change
+// that expects version 1 is accepted as version 2, its answer is lost with the
+// leader, and the operator resends it to the next leader. The answer must be
+// version 2; without the table the expected version is compared with version 2.
 for (const [name, prepare] of [
   ['a leader change', (group: Group) => group.lead('control-2')],
   [
@@ -79,10 +83,11 @@
   });
 }
 
-// Two operators saw version 1 and send different changes to it. The log puts
-// one first; the other must learn that it lost, and to which version. Without
-// an expected version both are accepted and the first is overwritten unseen.
-test('of changes that race under one version exactly one wins', async t => {
+// Failure: a change is overwritten without notice. Several operators change
+// version 1 in different ways. The first change in the log is accepted, and the
+// others are refused with its version. Without an expected version all are
+// accepted.
+test('of competing changes to one version exactly one is accepted', async t => {
   const operators = ['amina', 'daulet', 'salim'];
   const race = async (expectedVersion?: number) => {
     const group = createGroup();
@@ -111,12 +116,13 @@
   );
 });
 
-// The table keeps few answers for each operator. A resend older than these
-// can't be told from a new command: run again it would bring back a value that
-// later changes replaced. The operator's floor refuses it by its own code.
+// Failure: a resend restores a value that later changes have replaced. The
+// table keeps few answers per operator, and a resend older than these can't be
+// distinguished from a new command. The operator's floor refuses it with a
+// separate code.
 test('a resend older than the table is refused and never run again', t => {
   const resend = (safeguards: Partial<MachineSafeguards>) => {
-    const {send, machine} = createSample({answers: 2}, safeguards);
+    const {send, machine} = createLoggedMachine({answers: 2}, safeguards);
     for (let sequence = 1; sequence <= 4; sequence++) send(command(sequence));
     const answer = send(command(1));
     return {answer, machine};
@@ -131,11 +137,11 @@
   t.is(without.machine.current().services.get('crewbook')?.slowStart, 1);
 });
 
-// The table also keeps few operators. When amina has been dropped her sequence
-// 3 would look like that of a new operator and run again. The floor of those
-// dropped holds for every operator that is not in the table.
-test('a resend of an operator who was dropped is never run again', t => {
-  const {send, machine} = createSample({operators: 2});
+// Failure: a resend (sequence 3 of amina) runs again after its operator was
+// dropped, because it looks like the command of a new operator. The floor of
+// dropped operators applies to all operators that are not in the table.
+test('a resend of a dropped operator is never run again', t => {
+  const {send, machine} = createLoggedMachine({operators: 2});
   send(command(3));
   for (const operator of ['daulet', 'salim', 'aigul']) {
     const edits = [putService(operator)];
@@ -148,33 +154,34 @@
   t.is(machine.current().services.get('crewbook')?.slowStart, 6);
 });
 
-// A script sends two different changes under one id. Answering the second
-// with the first's answer would say that it was accepted though it never ran.
-test('an id that names another command is refused', t => {
+// Failure: a change is reported as accepted although it never ran. A script
+// sends two different changes with the same id, and the second gets the answer
+// of the first.
+test('an id that was used for another command is refused', t => {
   const other = {...command(1), edits: [putService('drillvault')]};
-  const {send, machine} = createSample();
+  const {send, machine} = createLoggedMachine();
   send(command(1));
   const refused = send(other);
   t.is(refused.code, codes.sequenceReused.number);
   t.is(send(command(1)).code, 1000);
 
-  const without = createSample({}, {fingerprint: false});
+  const without = createLoggedMachine({}, {fingerprint: false});
   without.send(command(1));
   t.is(without.send(other).code, 1000);
   t.false(without.machine.current().services.has('drillvault'));
   t.false(machine.current().services.has('drillvault'));
 });
 
-test('commands of one operator may arrive out of order', t => {
-  const {send} = createSample({answers: 3});
+test('commands of one operator can arrive out of order', t => {
+  const {send} = createLoggedMachine({answers: 3});
   t.is(send(command(5)).code, 1000);
   t.is(send(command(4)).code, 1000);
   t.is(send(command(4)).version, 2);
   t.is(send(command(5)).version, 1);
 });
 
-test('refusals are first answers too', t => {
-  const {send, edit} = createSample();
+test('a resend of a refused command gets the same refusal', t => {
+  const {send, edit} = createLoggedMachine();
   const removal = {action: 'remove', kind: 'service', name: 'a'} as const;
   const late = {operator: 'daulet', sequence: 1, edits: [removal]};
   t.is(send(late).code, codes.notFound.number);
@@ -184,7 +191,7 @@
 
 /** Growth of the snapshot from 100 to 300 changes by 37 operators. */
 function growth(operators: number, answers: number, history: number): number {
-  const {send, machine} = createSample({operators, answers, history});
+  const {send, machine} = createLoggedMachine({operators, answers, history});
   const sizes: number[] = [];
   for (let round = 1; round <= 300; round++) {
     const operator = `operator-${100 + (round % 37)}`;
@@ -195,7 +202,7 @@
   return sizes.at(-1)! / sizes[0]!;
 }
 
-test('endless changes by ever new operators keep the state bounded', t => {
+test('the state stays bounded under endless changes by new operators', t => {
   t.true(growth(4, 3, 5) <= 1.05);
   t.true(growth(1000, 1000, 1000) > 2, 'without the bounds it grows');
 });
--- a/src/configuration/snapshot.test.ts
+++ b/src/configuration/snapshot.test.ts
@@ -2,7 +2,7 @@
 import {createRandom} from '../random/random.js';
 import type {Random} from '../random/random.js';
 import {
-  createSample,
+  createLoggedMachine,
   createSampleMachine,
   putDrain,
   putPolicy,
@@ -41,13 +41,14 @@
   return {operator, sequence, edits};
 }
 
-// A control process comes back after hundreds of changes have passed it by and
-// gets a snapshot and the log's tail. Its state must be that of a process that
-// applied the whole log, answers and history included: a difference would show
-// only when it leads, as a change accepted twice or refused wrongly.
-test('a snapshot and the tail give the same digest as the whole log', t => {
+// Failure: a leader accepts a change twice or refuses it wrongly. A control
+// process was down for hundreds of changes and then receives a snapshot and the
+// rest of the log. Its state, including answers and history, must equal that of
+// a process that applied the whole log; a difference shows only when it becomes
+// leader.
+test('a snapshot and the rest of the log give the digest of the whole log', t => {
   const random = createRandom(7);
-  const {machine, log, send} = createSample(limits);
+  const {machine, log, send} = createLoggedMachine(limits);
   const snapshots = new Map<number, Uint8Array>();
   const codes = new Set<number>();
   for (let round = 1; round <= 400; round++) {
@@ -67,10 +68,10 @@
   }
 });
 
-test('a restored machine checks references as before', t => {
-  const {machine, edit} = createSample();
+test('a restored machine checks references', t => {
+  const {machine, edit} = createLoggedMachine();
   edit([putService('a'), putPolicy('p'), putRoute('r', 'a', 'p', '/r')]);
-  const restored = createSample();
+  const restored = createLoggedMachine();
   restored.machine.restore(1, machine.snapshot());
   const removal = {action: 'remove', kind: 'service', name: 'a'} as const;
   t.regex(restored.edit([removal], 'salim').message, /used by route r/);
@@ -78,8 +79,8 @@
   t.regex(restored.edit([twin], 'salim').message, /same requests as route r/);
 });
 
-test('a snapshot of another format leaves the state as it was', t => {
-  const {machine, edit} = createSample();
+test('a snapshot in another format does not change the state', t => {
+  const {machine, edit} = createLoggedMachine();
   edit([putService('a')]);
   const digest = machine.digest();
   t.throws(() => machine.restore(9, Buffer.from([0x80])), {
@@ -89,7 +90,7 @@
   t.is(machine.digest(), digest);
 });
 
-test('the digest depends on the state and not on how it came about', t => {
+test('equal states have equal digests', t => {
   const left = createSampleMachine(limits);
   const right = createSampleMachine(limits);
   const send = (machine: typeof left, index: number, name: string) => {
--- a/src/keepers/keeper-assigner.ts
+++ b/src/keepers/keeper-assigner.ts
@@ -3,9 +3,9 @@
  * leader.
  */
 import {claimCodes} from '../claims/codes.js';
-import {createKeeperPeers} from '../claims/peers.js';
-import {majorityOf} from '../claims/verdict.js';
-import {appointerName} from '../configuration/system-name.js';
+import {createKeeperClient} from '../claims/keeper-client.js';
+import {majorityOf} from '../claims/vote-count.js';
+import {keeperAssignerName} from '../configuration/system-name.js';
 import type {
   Keeper,
   KeeperAssignment,
@@ -73,12 +73,12 @@
   const firstAssignmentDelay =
     options.firstAssignmentDelay ?? defaultFirstAssignmentDelay;
   const propose = createSystemProposer({
-    operator: appointerName(options.name),
+    operator: keeperAssignerName(options.name),
     consensus,
     machine,
     clock: timers,
   });
-  const keeperClient = createKeeperPeers(options.network, timers);
+  const keeperClient = createKeeperClient(options.network, timers);
   /** When each member was first found absent, by service, address, incarnation. */
   const missingSince = new Map<string, number>();
   const firstSeenAt = new Map<string, number>();
--- a/src/keepers/plan.ts
+++ b/src/keepers/plan.ts
@@ -3,8 +3,8 @@
  * without side effects.
  */
 import murmurhash from 'murmurhash';
-import {isSameLife} from '../claims/tenure.js';
-import {majorityOf} from '../claims/verdict.js';
+import {isSameIncarnation} from '../claims/service-claims.js';
+import {majorityOf} from '../claims/vote-count.js';
 import type {Keeper, KeeperAssignment} from '../configuration/configuration.js';
 import type {KnownInstance} from '../endpoints/messages.js';
 
@@ -120,7 +120,7 @@
   const candidates = candidatesOf(view);
   const staying = current.members.filter(member => member !== leaving);
   const replacements = candidates.filter(
-    candidate => !staying.some(member => isSameLife(member, candidate)),
+    candidate => !staying.some(member => isSameIncarnation(member, candidate)),
   );
   const canFill = staying.length + replacements.length >= fullSetSize;
   if (leaving === undefined && !canFill) return {kind: 'none'};
--- a/src/node/upstream-listener.ts
+++ b/src/node/upstream-listener.ts
@@ -1,5 +1,5 @@
 /** The listener that receives announcements of the upstream beside a node. */
-import {isBeforeFirst} from '../configuration/configuration.js';
+import {isBeforeFirstChange} from '../configuration/configuration.js';
 import type {Configuration} from '../configuration/configuration.js';
 import type {
   AnnounceServer,
@@ -37,6 +37,6 @@
   configuration: Configuration | undefined,
   name: string,
 ): boolean {
-  if (configuration === undefined || isBeforeFirst(configuration)) return true;
+  if (configuration === undefined || isBeforeFirstChange(configuration)) return true;
   return configuration.services.has(name);
 }
--- a/src/quarantine/quarantine-controller.ts
+++ b/src/quarantine/quarantine-controller.ts
@@ -5,7 +5,7 @@
 import type {Quarantine} from '../configuration/configuration.js';
 import type {ConfigurationMachine} from '../configuration/create-configuration-machine.js';
 import type {Edit} from '../configuration/messages.js';
-import {quarantineName} from '../configuration/system-name.js';
+import {quarantineControllerName} from '../configuration/system-name.js';
 import {createSystemProposer} from '../configuration/system-proposer.js';
 import type {Consensus} from '../consensus/consensus.js';
 import type {EndpointView} from '../endpoints/messages.js';
@@ -67,7 +67,7 @@
   const log = options.log.scope('quarantine');
   const suspectTable = createSuspectTable(timers);
   const propose = createSystemProposer({
-    operator: quarantineName(options.name),
+    operator: quarantineControllerName(options.name),
     consensus,
     machine,
     clock: timers,
--- a/src/request/route-finder.ts
+++ b/src/request/route-finder.ts
@@ -1,6 +1,6 @@
 /** Finds the route of a caller's request, or the reason why there is none. */
 import type {IncomingMessage} from 'node:http';
-import {isBeforeFirst} from '../configuration/configuration.js';
+import {isBeforeFirstChange} from '../configuration/configuration.js';
 import type {Configuration} from '../configuration/configuration.js';
 import type {Random} from '../random/random.js';
 import type {Code} from '../result/code.js';
@@ -62,7 +62,7 @@
     const configuration = options.configuration();
     // Before the first configuration, `no-route` would make callers give up on
     // routes that are about to be configured.
-    if (configuration === undefined || isBeforeFirst(configuration)) {
+    if (configuration === undefined || isBeforeFirstChange(configuration)) {
       return {refused: noConfigurationRefusal()};
     }
     const match = routerOf(configuration).match({
