--- a/src/node/upstream-listener.ts
+++ b/src/node/upstream-listener.ts
@@ -37,6 +37,7 @@
   configuration: Configuration | undefined,
   name: string,
 ): boolean {
-  if (configuration === undefined || isBeforeFirstChange(configuration)) return true;
+  if (configuration === undefined || isBeforeFirstChange(configuration))
+    return true;
   return configuration.services.has(name);
 }
--- a/src/operator/router.ts
+++ b/src/operator/router.ts
@@ -1,7 +1,11 @@
 import {initTRPC, TRPCError} from '@trpc/server';
 import {z, ZodError} from 'zod';
 import {configurationCodes as codes} from '../configuration/codes.js';
-import {commandSchema, kindSchema, nameSchema} from '../configuration/schemas.js';
+import {
+  commandSchema,
+  kindSchema,
+  nameSchema,
+} from '../configuration/schemas.js';
 import type {Log} from '../log/log.js';
 import type {Refusal} from './messages.js';
 import {refuse} from './refusal.js';
