--- a/src/admin/admin-server.test.ts
+++ b/src/admin/admin-server.test.ts
@@ -16,7 +16,7 @@
     address: '127.0.0.1:0',
     token: given,
     registry,
-    health: {notReady: () => reasons},
+    health: {notReadyReasons: () => reasons},
     wall: () => 1234,
     actions: {
       drain: async argument => {
@@ -121,7 +121,7 @@
     createAdminServer({
       address: server.address,
       registry: new Registry(),
-      health: {notReady: () => []},
+      health: {notReadyReasons: () => []},
       wall: () => 0,
     }),
   );
--- a/src/admin/admin-server.ts
+++ b/src/admin/admin-server.ts
@@ -13,14 +13,14 @@
 /** What a process says of itself. */
 export interface Health {
   /** Why it can't take work now; empty when it is ready. */
-  notReady(): readonly string[];
+  notReadyReasons(): readonly string[];
 }
 
 /** A change of state that the listener offers; `argument` follows its name. */
 export type Action = (argument: string | undefined) => Promise<Result<unknown>>;
 
 /** What `createAdminServer` needs. */
-export interface AdminOptions {
+export interface AdminServerOptions {
   /** Bound apart from callers. */
   readonly address: Address;
   /** Secret for changes of state; absent to refuse them all. */
@@ -56,7 +56,7 @@
  * runs), `GET /ready` (200 or 503 with the reasons) and the actions.
  */
 export async function createAdminServer(
-  options: AdminOptions,
+  options: AdminServerOptions,
 ): Promise<AdminServer> {
   const server = createServer({requestTimeout: 5_000, maxHeaderSize: 8_192});
   const app = polka({
@@ -80,7 +80,7 @@
   return request.method === 'GET' || request.method === 'HEAD';
 }
 
-function addReads(app: polka.Polka, options: AdminOptions): void {
+function addReads(app: polka.Polka, options: AdminServerOptions): void {
   const started = options.wall();
   const {registry, health} = options;
   app.get('/metrics', async (_request, response) => {
@@ -99,7 +99,7 @@
     answerJson(response as unknown as ServerResponse, 200, {healthy: true});
   });
   app.get('/ready', (_request, response) => {
-    const reasons = health.notReady();
+    const reasons = health.notReadyReasons();
     const ready = reasons.length === 0;
     answerJson(response as unknown as ServerResponse, ready ? 200 : 503, {
       ready,
--- a/src/admin/convergence.ts
+++ b/src/admin/convergence.ts
@@ -16,7 +16,7 @@
 }
 
 /** Measures how long accepted changes take to be in force everywhere. */
-export interface Convergence {
+export interface ConvergenceTracker {
   /** A change was accepted, at this moment. */
   accepted(version: number): void;
   stop(): void;
@@ -33,7 +33,9 @@
 const patience = 60_000;
 
 /** Creates the measure; it looks at the fleet only while a change is on its way. */
-export function createConvergence(options: ConvergenceOptions): Convergence {
+export function createConvergenceTracker(
+  options: ConvergenceOptions,
+): ConvergenceTracker {
   const {timers, metrics, fleet} = options;
   const waiting = new Map<number, number>();
   const timer = timers.every(lookEvery, look);
--- a/src/admin/label-limit.ts
+++ b/src/admin/label-limiter.ts
@@ -2,7 +2,7 @@
 export const overflowLabel = 'other';
 
 /** Keeps the number of a label's values bounded. */
-export interface LabelLimit {
+export interface LabelLimiter {
   /** `value` while it is among the first ones seen, else `other`. */
   label(value: string): string;
 }
@@ -12,7 +12,7 @@
  * costs series that live as long as the process: a node that met all of 710
  * services' routes would otherwise hold tens of thousands of them.
  */
-export function createLabelLimit(limit: number): LabelLimit {
+export function createLabelLimiter(limit: number): LabelLimiter {
   const known = new Set<string>();
   return {
     label(value) {
--- a/src/admin/metrics.test.ts
+++ b/src/admin/metrics.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
 import {Registry} from 'prom-client';
 import {commonCodes} from '../result/codes.js';
-import {createMetrics, judge} from './metrics.js';
+import {createMetrics, classifyAnswer} from './metrics.js';
 
 function answer(route: string, status = 200, duration = 5) {
   return {
@@ -35,14 +35,14 @@
 });
 
 test("a caller's own error spends no budget; refusals and late answers do", t => {
-  t.is(judge(answer('a', 404)), 'good');
-  t.is(judge({...answer('a', 499), whole: false}), 'good');
-  t.is(judge({...answer('a', 499, 51), whole: false}), 'slow');
-  t.is(judge({...answer('a'), whole: false}), 'failed', 'cut short');
-  t.is(judge(answer('a', 429)), 'failed');
-  t.is(judge(answer('a', 502)), 'failed');
-  t.is(judge(answer('a', 200, 51)), 'slow');
-  t.is(judge(answer('a', 200, 50)), 'good');
+  t.is(classifyAnswer(answer('a', 404)), 'good');
+  t.is(classifyAnswer({...answer('a', 499), whole: false}), 'good');
+  t.is(classifyAnswer({...answer('a', 499, 51), whole: false}), 'slow');
+  t.is(classifyAnswer({...answer('a'), whole: false}), 'failed', 'cut short');
+  t.is(classifyAnswer(answer('a', 429)), 'failed');
+  t.is(classifyAnswer(answer('a', 502)), 'failed');
+  t.is(classifyAnswer(answer('a', 200, 51)), 'slow');
+  t.is(classifyAnswer(answer('a', 200, 50)), 'good');
 });
 
 test('at 710 services the series stay bounded and no answer goes uncounted', async t => {
--- a/src/admin/process-metrics.test.ts
+++ b/src/admin/process-metrics.test.ts
@@ -1,10 +1,10 @@
 import test from 'ava';
 import {Registry} from 'prom-client';
-import {publishProcess} from './process-metrics.js';
+import {publishProcessMetrics} from './process-metrics.js';
 
 test('processor time rises, and memory and start are told', async t => {
   const registry = new Registry();
-  publishProcess(registry, 5000);
+  publishProcessMetrics(registry, 5000);
   const read = async (name: string) => {
     const {values} = await registry.getSingleMetric(name)!.get();
     return values[0]!.value;
--- a/src/admin/process-metrics.ts
+++ b/src/admin/process-metrics.ts
@@ -8,7 +8,10 @@
  * they are asked for. The client library's default set also samples the loop
  * each 10 ms, which a process that is mostly idle pays for all the time.
  */
-export function publishProcess(registry: Registry, started: number): void {
+export function publishProcessMetrics(
+  registry: Registry,
+  started: number,
+): void {
   const registers = [registry];
   let counted = 0;
   new Counter({
--- a/src/admin/watch-control.ts
+++ b/src/admin/report-control.ts
@@ -5,7 +5,7 @@
 import type {Subscription, Timers} from '../time/timers.js';
 
 /** What `watchControl` reads. */
-export interface ControlWatch {
+export interface ControlReportOptions {
   readonly consensus: Pick<Consensus, 'status'>;
   readonly dataFolder: string;
   /** How many nodes are known. */
@@ -18,7 +18,7 @@
 const lookEvery = 5_000;
 
 /** Reports the state of a control process from time to time. */
-export function watchControl(options: ControlWatch): Subscription {
+export function reportControl(options: ControlReportOptions): Subscription {
   const {consensus, dataFolder, metrics, timers} = options;
 
   async function report(): Promise<void> {
--- a/src/admin/reports.test.ts
+++ b/src/admin/reports.test.ts
@@ -4,7 +4,7 @@
 import {createNoMetrics} from '../metrics/metrics.js';
 import type {AnsweredRequest} from '../metrics/metrics.js';
 import {createFakeTimers} from '../time/fakes/fake-timers.js';
-import {createConvergence} from './convergence.js';
+import {createConvergenceTracker} from './convergence.js';
 import {reportOutcome} from './report-outcome.js';
 
 const outcome = {
@@ -52,7 +52,7 @@
   });
   let inForce = 0;
   const fleet = () => ({nodes: 3, inForce});
-  const convergence = createConvergence({timers, metrics, fleet});
+  const convergence = createConvergenceTracker({timers, metrics, fleet});
   convergence.accepted(5);
   timers.advance(400);
   inForce = 2;
@@ -73,7 +73,7 @@
     converged: (duration: number) => void times.push(duration),
   });
   const fleet = () => ({nodes: 3, inForce: 2});
-  const convergence = createConvergence({timers, metrics, fleet});
+  const convergence = createConvergenceTracker({timers, metrics, fleet});
   convergence.accepted(5);
   timers.advance(61_000);
   t.deepEqual(times, [60_000]);
--- a/src/burn/scrape.test.ts
+++ b/src/burn/scrape.test.ts
@@ -11,7 +11,7 @@
   const server = await createAdminServer({
     address: '127.0.0.1:0',
     registry,
-    health: {notReady: () => []},
+    health: {notReadyReasons: () => []},
     wall: () => 77,
   });
   const request = {
--- a/src/language/parse.test.ts
+++ b/src/language/parse.test.ts
@@ -1,5 +1,5 @@
 import test from 'ava';
-import {isOpen, parseCommand, parseEdits} from './parse.js';
+import {isIncompleteBlock, parseCommand, parseEdits} from './parse.js';
 import {renderProblem} from './problem.js';
 
 function read(text: string): unknown {
@@ -232,8 +232,11 @@
 });
 
 test('a begin without its end waits for more lines', t => {
-  t.true(isOpen('as amina/1 expect 4 begin put service a\n'));
-  t.false(isOpen('begin put service a; end'));
-  t.false(isOpen('put service begin'));
-  t.true(isOpen('begin put service end\n'), 'end as a name ends nothing');
+  t.true(isIncompleteBlock('as amina/1 expect 4 begin put service a\n'));
+  t.false(isIncompleteBlock('begin put service a; end'));
+  t.false(isIncompleteBlock('put service begin'));
+  t.true(
+    isIncompleteBlock('begin put service end\n'),
+    'end as a name ends nothing',
+  );
 });
--- a/src/language/parse.ts
+++ b/src/language/parse.ts
@@ -48,7 +48,7 @@
 }
 
 /** Whether a `begin` waits for its `end`, so that more lines belong to it. */
-export function isOpen(text: string): boolean {
+export function isIncompleteBlock(text: string): boolean {
   const {tokens} = lexer.tokenize(text);
   const first = tokens.findIndex(({image}) => image === 'begin');
   const isBlock = tokens.slice(0, Math.max(0, first)).every(isPrefix);
--- a/src/language/random-text.test.ts
+++ b/src/language/random-text.test.ts
@@ -1,6 +1,6 @@
 import test from 'ava';
 import {createRandom} from '../random/random.js';
-import {isOpen, parseCommand, parseEdits} from './parse.js';
+import {isIncompleteBlock, parseCommand, parseEdits} from './parse.js';
 import {renderProblem} from './problem.js';
 import {vocabulary} from './tokens.js';
 
@@ -19,7 +19,7 @@
     const count = random.integer(9);
     const picked = Array.from({length: count}, () => random.pick(words));
     const text = picked.join(random.pick([' ', ' ', '']));
-    isOpen(text);
+    isIncompleteBlock(text);
     for (const parsed of [parseCommand(text), parseEdits(text)]) {
       if (parsed.ok) {
         commands++;
--- a/src/operator/client-refusals.ts
+++ b/src/operator/client-refusals.ts
@@ -3,7 +3,7 @@
 import type {Effect} from '../result/code.js';
 import {commonCodes} from '../result/codes.js';
 import type {Refusal, Reply} from './messages.js';
-import {refuse} from './refusal.js';
+import {createRefusal} from './refusal.js';
 
 /** What the client makes of refusals and of calls without an answer. */
 
@@ -30,7 +30,7 @@
 ];
 
 /** Whether another process, or a later moment, may do. */
-export function isPassing({code, name}: Refusal): boolean {
+export function isTransient({code, name}: Refusal): boolean {
   return code === commonCodes.unreachable.number || passing.includes(name);
 }
 
@@ -38,22 +38,22 @@
  * The last process refused. An earlier sending may have run all the same, and
  * then the refusal must not say that nothing did.
  */
-export function settleRefusal(last: Refusal, effect: Effect): Reply<never> {
+export function toFinalRefusal(last: Refusal, effect: Effect): Reply<never> {
   if (effect !== 'unknown') return {ok: false, refusal: last};
   const message = `an earlier sending may have run; then: ${last.message}`;
   return {ok: false, refusal: {...last, message, effect}};
 }
 
 /** What a caller is told when time is up. */
-export function giveUp(last: Refusal, effect: Effect): Reply<never> {
+export function toTimeoutRefusal(last: Refusal, effect: Effect): Reply<never> {
   const {unreachable} = commonCodes;
   if (effect !== 'unknown') return {ok: false, refusal: {...last, effect}};
   const message = `no answer came in time: ${last.message}`;
-  return {ok: false, refusal: {...refuse(unreachable, message), effect}};
+  return {ok: false, refusal: {...createRefusal(unreachable, message), effect}};
 }
 
 /** What a call that threw stands for. */
-export function describeError(address: Address, error: Error): Refusal {
+export function toRefusal(address: Address, error: Error): Refusal {
   if (error instanceof TRPCClientError) {
     const refusal = (error.data as {refusal?: Refusal} | undefined)?.refusal;
     if (refusal !== undefined) return refusal;
@@ -61,7 +61,7 @@
   const code = findSystemCode(error);
   const message = `${address} did not answer${code ? `: ${code}` : ''}`;
   const effect = neverSent.includes(code ?? '') ? 'not-run' : 'unknown';
-  return {...refuse(commonCodes.unreachable, message), effect};
+  return {...createRefusal(commonCodes.unreachable, message), effect};
 }
 
 function findSystemCode(error: Error): string | undefined {
--- a/src/operator/control-processes.test.ts
+++ b/src/operator/control-processes.test.ts
@@ -181,12 +181,12 @@
   const {version} = answerOf(await amina.change(put(1)));
   const old = await leader();
   const position = control.names.indexOf(old);
-  control.freeze(old);
+  control.suspend(old);
   const next = client((position + 1) % 3);
   const won = answerOf(await next.change(put(2, version)));
   t.is(won.code, 1000);
 
-  control.thaw(old);
+  control.resume(old);
   const daulet = client(position);
   const command = {...put(3, version), operator: 'daulet'};
   const [late, shown] = await Promise.all([
@@ -218,7 +218,7 @@
   answerOf(await before.change(put(1, 'crewbook')));
   const last = await leader();
   const lost = control.names.find(name => name !== last)!;
-  await control.lose(lost);
+  await control.destroy(lost);
   const joining = await control.join('control-4', lost);
   const replaced = await before.replace(lost, {
     name: joining.name,
@@ -232,7 +232,7 @@
     await counts(joining.name, lost);
   }
   const accepted = answerOf(await before.change(put(2, 'drillvault')));
-  await control.lose(last);
+  await control.destroy(last);
 
   const after = client(0, [joining.operatorAddress]);
   answerOf(await after.change(put(3, 'stock-desk')));
--- a/src/operator/create-operator-client.ts
+++ b/src/operator/create-operator-client.ts
@@ -9,21 +9,21 @@
 import type {Effect} from '../result/code.js';
 import type {Timers} from '../time/timers.js';
 import {
-  describeError,
-  giveUp,
-  isPassing,
-  settleRefusal,
+  toRefusal,
+  toTimeoutRefusal,
+  isTransient,
+  toFinalRefusal,
 } from './client-refusals.js';
 import {createFetch} from './fetch.js';
 import type {
   ControlView,
   History,
-  InForce,
+  InForceStatus,
   Items,
   Reply,
-  Waited,
+  WaitResult,
 } from './messages.js';
-import {longestWait} from './router.js';
+import {maxWait} from './router.js';
 import type {OperatorRouter} from './router.js';
 
 /** What a client of the operators' API is made of. */
@@ -39,7 +39,7 @@
 }
 
 /** An answer and how it came. */
-export interface SentAnswer extends Answer {
+export interface ClientAnswer extends Answer {
   /** Whether an earlier sending may have run, its answer lost. */
   readonly isResent: boolean;
 }
@@ -47,11 +47,11 @@
 /** Asks the control group; each call goes on until answered or timed out. */
 export interface OperatorClient {
   /** Resent under its id until it has an answer. */
-  change(command: Command): Promise<Reply<SentAnswer>>;
+  change(command: Command): Promise<Reply<ClientAnswer>>;
   items(kind: Kind, name?: string): Promise<Reply<Items>>;
   history(count: number): Promise<Reply<History>>;
-  inForce(): Promise<Reply<InForce>>;
-  wait(version: number, within: number): Promise<Reply<Waited>>;
+  inForce(): Promise<Reply<InForceStatus>>;
+  wait(version: number, within: number): Promise<Reply<WaitResult>>;
   /** The group as each address sees it, in the order of the addresses. */
   control(): Promise<readonly Reply<ControlView>[]>;
   replace(leaving: string, joining: Member): Promise<Reply<null>>;
@@ -82,7 +82,7 @@
 const shortestAttempt = 50;
 
 /** Milliseconds between two rounds over all addresses. */
-export const roundPause = 100;
+export const roundDelay = 100;
 
 /** Creates a client that knows several control processes. */
 export function createOperatorClient(
@@ -109,7 +109,7 @@
     try {
       return await call.run(apiAt(address), controller.signal);
     } catch (error) {
-      return {ok: false, refusal: describeError(address, error as Error)};
+      return {ok: false, refusal: toRefusal(address, error as Error)};
     } finally {
       timer.cancel();
     }
@@ -127,14 +127,15 @@
         Math.min(limit + extra, left),
       );
       if (reply.ok) return reply;
-      if (!isPassing(reply.refusal))
-        return settleRefusal(reply.refusal, effect);
+      if (!isTransient(reply.refusal))
+        return toFinalRefusal(reply.refusal, effect);
       if (reply.refusal.effect === 'unknown') {
         effect = call.effect;
         call.onLost?.();
       }
       if (effect === 'unknown' && call.resend === 'not-run') return reply;
-      if (timers.now() >= deadline) return giveUp(reply.refusal, effect);
+      if (timers.now() >= deadline)
+        return toTimeoutRefusal(reply.refusal, effect);
       preferred = reply.refusal.leader ?? after(preferred);
       if (tries % options.addresses.length === 0) await pause();
     }
@@ -146,18 +147,21 @@
   }
 
   function pause(): Promise<void> {
-    return new Promise(resolve => void timers.after(roundPause, resolve));
+    return new Promise(resolve => void timers.after(roundDelay, resolve));
   }
 
   function query<T>(run: Call<T>['run'], extra?: number): Promise<Reply<T>> {
     return ask({run, resend: 'always', effect: 'not-run'}, extra);
   }
 
-  async function wait(version: number, within: number): Promise<Reply<Waited>> {
+  async function wait(
+    version: number,
+    within: number,
+  ): Promise<Reply<WaitResult>> {
     const deadline = timers.now() + within;
     for (;;) {
       const left = Math.max(0, deadline - timers.now());
-      const input = {version, within: Math.min(left, longestWait)};
+      const input = {version, within: Math.min(left, maxWait)};
       const reply = await query(
         async (api, signal) => wrap(await api.wait.query(input, {signal})),
         input.within,
@@ -179,7 +183,7 @@
     );
   }
 
-  async function change(command: Command): Promise<Reply<SentAnswer>> {
+  async function change(command: Command): Promise<Reply<ClientAnswer>> {
     let isResent = false;
     const reply = await ask<Answer>({
       run: (api, signal) => api.change.mutate(command, {signal}),
--- a/src/operator/item-shaper.ts
+++ b/src/operator/item-normalizer.ts
@@ -8,9 +8,9 @@
 import {nextTurn} from '../time/turn.js';
 
 /** Shapes items. */
-export interface ItemShaper {
+export interface ItemNormalizer {
   /** The items in their shape, or the first thing that is wrong with one. */
-  shape(items: readonly Item[]): Promise<Result<Item[]>>;
+  normalize(items: readonly Item[]): Promise<Result<Item[]>>;
 }
 
 /** New items between two turns of the loop; 50 take 1 ms of processor time. */
@@ -21,11 +21,11 @@
  * before has its shape by identity; of a revision of 1,700 routes that changes
  * one, one is checked in place of all, which took 20 to 55 ms in one turn.
  */
-export function createItemShaper(): ItemShaper {
+export function createItemNormalizer(): ItemNormalizer {
   const shaped = new WeakMap<Item, Item>();
 
   return {
-    async shape(items) {
+    async normalize(items) {
       const done: Item[] = [];
       let fresh = 0;
       for (const [at, item] of items.entries()) {
--- a/src/operator/messages.ts
+++ b/src/operator/messages.ts
@@ -50,14 +50,14 @@
 }
 
 /** What is in force where. */
-export interface InForce {
+export interface InForceStatus {
   /** Whether a majority confirmed that `summary.version` is the newest. */
   readonly confirmed: boolean;
   readonly summary: FleetSummary;
 }
 
 /** The answer to a wait. */
-export interface Waited {
+export interface WaitResult {
   readonly version: number;
   /** Whether every known node has it; never true without a node. */
   readonly inForce: boolean;
--- a/src/operator/operator-server.test.ts
+++ b/src/operator/operator-server.test.ts
@@ -4,7 +4,7 @@
 import {createTimers} from '../time/timers.js';
 import {createOperatorClient} from './create-operator-client.js';
 import {deploy} from './fakes/deployment.js';
-import {createHastyClient} from './fakes/hasty-client.js';
+import {createShortTimeoutClient} from './fakes/short-timeout-client.js';
 
 function clientOf(addresses: readonly string[], token?: string) {
   return createOperatorClient({addresses, token, timers: createTimers()});
@@ -42,11 +42,11 @@
 test('a change without any answer ends as unknown, without a process as not sent', async t => {
   const {group, addresses, close} = await deploy(t);
   group.decide(...Array.from({length: 500}, () => 'lose' as const));
-  const unknown = await createHastyClient(addresses).change(command);
+  const unknown = await createShortTimeoutClient(addresses).change(command);
   t.false(unknown.ok);
   t.is(unknown.ok ? '' : unknown.refusal.effect, 'unknown');
   await close();
-  const unreachable = await createHastyClient(addresses).change(command);
+  const unreachable = await createShortTimeoutClient(addresses).change(command);
   t.is(unreachable.ok ? '' : unreachable.refusal.effect, 'not-run');
 });
 
@@ -91,7 +91,7 @@
   };
   t.false(answer.result.data.inForce);
   await closing;
-  const late = await createHastyClient(addresses).items('service');
+  const late = await createShortTimeoutClient(addresses).items('service');
   t.is(late.ok ? 0 : late.refusal.code, 1003);
 });
 
--- a/src/operator/refusal.ts
+++ b/src/operator/refusal.ts
@@ -2,7 +2,11 @@
 import type {Refusal} from './messages.js';
 
 /** Makes a refusal of a code. */
-export function refuse(code: Code, message: string, leader?: string): Refusal {
+export function createRefusal(
+  code: Code,
+  message: string,
+  leader?: string,
+): Refusal {
   const {number, name, effect} = code;
   const refusal = {code: number, name, effect, message};
   return leader === undefined ? refusal : {...refusal, leader};
--- a/src/operator/render.ts
+++ b/src/operator/render.ts
@@ -8,7 +8,13 @@
 } from '../configuration/configuration.js';
 import type {Member} from '../consensus/consensus.js';
 import type {FleetSummary} from '../fleet/summary.js';
-import type {ControlView, History, InForce, Items, Reply} from './messages.js';
+import type {
+  ControlView,
+  History,
+  InForceStatus,
+  Items,
+  Reply,
+} from './messages.js';
 import {renderTable} from './table.js';
 
 /** What a person sees; programs take `--json` instead. */
@@ -120,7 +126,7 @@
 }
 
 /** What is in force where. */
-export function renderInForce({confirmed, summary}: InForce): string {
+export function renderInForce({confirmed, summary}: InForceStatus): string {
   const note = confirmed
     ? ''
     : 'no majority answered: a newer version may have been accepted\n';
--- a/src/operator/router.ts
+++ b/src/operator/router.ts
@@ -4,7 +4,7 @@
 import {commandShape, kindShape, nameShape} from '../configuration/shape.js';
 import type {Log} from '../log/log.js';
 import type {Refusal} from './messages.js';
-import {refuse} from './refusal.js';
+import {createRefusal} from './refusal.js';
 import type {OperatorService} from './service.js';
 import {firstProblem} from '../result/first-problem.js';
 
@@ -15,7 +15,7 @@
 }
 
 /** Longest single wait; clients ask again until their own time is over. */
-export const longestWait = 10_000;
+export const maxWait = 10_000;
 
 const memberShape = z
   .object({
@@ -60,7 +60,7 @@
         z
           .object({
             version: z.number().int().nonnegative(),
-            within: z.number().nonnegative().max(longestWait),
+            within: z.number().nonnegative().max(maxWait),
           })
           .strict(),
       )
@@ -81,13 +81,16 @@
 function describeError(error: TRPCError): Refusal {
   switch (error.code) {
     case 'UNAUTHORIZED':
-      return refuse(codes.unauthorized, 'the operator token is wrong');
+      return createRefusal(codes.unauthorized, 'the operator token is wrong');
     case 'PAYLOAD_TOO_LARGE':
-      return refuse(codes.tooLarge, 'the request is too large');
+      return createRefusal(codes.tooLarge, 'the request is too large');
     case 'INTERNAL_SERVER_ERROR':
-      return refuse(codes.internal, 'see the log of the control process');
+      return createRefusal(
+        codes.internal,
+        'see the log of the control process',
+      );
     default:
-      return refuse(codes.invalidInput, describeInput(error));
+      return createRefusal(codes.invalidInput, describeInput(error));
   }
 }
 
--- a/src/operator/run-operator-command.test.ts
+++ b/src/operator/run-operator-command.test.ts
@@ -5,7 +5,7 @@
 import test from 'ava';
 import {deploy} from './fakes/deployment.js';
 import type {Deployment} from './fakes/deployment.js';
-import {createHastyClient} from './fakes/hasty-client.js';
+import {createShortTimeoutClient} from './fakes/short-timeout-client.js';
 import {runOperatorCommand} from './run-operator-command.js';
 
 const setup = [
@@ -36,7 +36,7 @@
     input: Readable.from([options.input ?? '']),
     out: written => (output.out += written),
     error: written => (output.error += written),
-    client: options.isHasty ? createHastyClient(addresses) : undefined,
+    client: options.isHasty ? createShortTimeoutClient(addresses) : undefined,
     environment: {
       FOXBARROW_CONTROL: addresses.join(','),
       FOXBARROW_OPERATOR: 'amina',
--- a/src/operator/run-operator-command.ts
+++ b/src/operator/run-operator-command.ts
@@ -1,7 +1,7 @@
 import {createInterface} from 'node:readline';
 import type {Readable} from 'node:stream';
 import {configurationCodes} from '../configuration/codes.js';
-import {parseCommand, isOpen} from '../language/parse.js';
+import {parseCommand, isIncompleteBlock} from '../language/parse.js';
 import {renderProblem} from '../language/problem.js';
 import type {Problem} from '../language/problem.js';
 import {createTimers} from '../time/timers.js';
@@ -12,7 +12,7 @@
 import {languageHelp, optionsHelp} from './help.js';
 import {resolveOptions} from './options.js';
 import type {Environment, OperatorOptions} from './options.js';
-import {createSequence} from './sequence.js';
+import {createSequenceGenerator} from './sequence.js';
 import {runStatement} from './run-statement.js';
 import type {Outcome, Session} from './run-statement.js';
 
@@ -75,7 +75,7 @@
   const {addresses, token, timeout, operator} = options;
   const client =
     streams.client ?? createOperatorClient({addresses, token, timeout, timers});
-  const nextSequence = createSequence(timers);
+  const nextSequence = createSequenceGenerator(timers);
   return {
     client,
     nextId: above => ({operator, sequence: nextSequence(above)}),
@@ -141,7 +141,7 @@
   let text = '';
   for await (const line of createInterface({input: streams.input})) {
     text += `${line}\n`;
-    if (isOpen(text)) continue;
+    if (isIncompleteBlock(text)) continue;
     if (!isBlank(text)) highest = Math.max(highest, await run(text));
     text = '';
   }
--- a/src/operator/run-statement.ts
+++ b/src/operator/run-statement.ts
@@ -11,7 +11,7 @@
   refusalExitCode,
 } from './exit-codes.js';
 import {languageHelp} from './help.js';
-import type {Reply, Waited} from './messages.js';
+import type {Reply, WaitResult} from './messages.js';
 import {
   renderControl,
   renderFleet,
@@ -164,7 +164,7 @@
   };
 }
 
-function runWait(reply: Reply<Waited>): Outcome {
+function runWait(reply: Reply<WaitResult>): Outcome {
   if (!reply.ok) return present(reply, () => '');
   const {inForce, summary} = reply.value;
   return {
--- a/src/operator/sequence.ts
+++ b/src/operator/sequence.ts
@@ -8,7 +8,9 @@
  *
  * The function gives a sequence higher than those before and than `above`.
  */
-export function createSequence(timers: Timers): (above?: number) => number {
+export function createSequenceGenerator(
+  timers: Timers,
+): (above?: number) => number {
   let last = 0;
   return (above = 0) => {
     const started = Math.floor(timers.wall()) * 1000;
--- a/src/operator/testing/control-processes.ts
+++ b/src/operator/testing/control-processes.ts
@@ -19,13 +19,13 @@
   /** Ends a process at once, with SIGKILL; its data folder stays. */
   kill(name: string): Promise<void>;
   /** Kills a process and removes its data folder. */
-  lose(name: string): Promise<void>;
+  destroy(name: string): Promise<void>;
   /** Starts a process that is to take the place of `leaving`. */
   join(name: string, leaving: string): Promise<ControlMember>;
   /** Freezes a process with SIGSTOP. */
-  freeze(name: string): void;
+  suspend(name: string): void;
   /** Lets a frozen process go on. */
-  thaw(name: string): void;
+  resume(name: string): void;
   /** Ends all processes and removes their folders. */
   end(): Promise<void>;
 }
@@ -121,10 +121,10 @@
     addresses: members.map(({operatorAddress}) => operatorAddress),
     start,
     kill,
-    lose,
+    destroy: lose,
     join: joinGroup,
-    freeze: name => void running.get(name)?.kill('SIGSTOP'),
-    thaw: name => void running.get(name)?.kill('SIGCONT'),
+    suspend: name => void running.get(name)?.kill('SIGSTOP'),
+    resume: name => void running.get(name)?.kill('SIGCONT'),
     async end() {
       await Promise.all([...running.keys()].map(kill));
       ports.release();
--- a/src/relay/run.ts
+++ b/src/relay/run.ts
@@ -53,7 +53,7 @@
   home.onReport(host.fleet.receive);
   subscriber.onSwitch(({version}) => admin.metrics.inForce(version));
   const adminServer = await admin.listen({
-    notReady: () =>
+    notReadyReasons: () =>
       subscriber.current() === undefined ? ['no configuration in force'] : [],
   });
   log.info('relay takes nodes', {address: settings.distributionAddress});
--- a/src/settings/stop-deadline.ts
+++ b/src/settings/stop-deadline.ts
@@ -13,7 +13,7 @@
  * could still have ended where more is granted, and is cut short itself, without
  * an answer to anybody, where less is.
  */
-export function stopDeadlineOf({
+export function effectiveStopDeadline({
   stopDeadline,
   killAfter,
 }: Pick<Settings, 'stopDeadline' | 'killAfter'>): number {
