--- a/src/operator/client-refusals.ts
+++ b/src/operator/client-refusals.ts
@@ -5,46 +5,46 @@
 import type {Refusal, Reply} from './messages.js';
 import {createRefusal} from './refusal.js';
 
-/** What the client makes of refusals and of calls without an answer. */
+/** How the client handles refusals and calls without an answer. */
 
-/** Refusals after which another process, or a later moment, may do. */
-const passing: readonly string[] = [
+/** Names of refusals that may not recur at another process or later. */
+const retryable: readonly string[] = [
   'not-leader',
   'no-quorum',
   'outcome-unknown',
   'consensus-overloaded',
   'consensus-stopped',
-  // The joining process may still be starting.
+  // The joining process may not have started yet.
   'member-unreachable',
   'sync-failed',
   'disk-full',
   'internal',
 ];
 
-/** Errors of a connection that was never made, so that nothing was sent. */
-const neverSent: readonly string[] = [
+/** Errors of connections that were never established, so nothing was sent. */
+const connectErrors: readonly string[] = [
   'ECONNREFUSED',
   'EHOSTUNREACH',
   'ENETUNREACH',
   'UND_ERR_CONNECT_TIMEOUT',
 ];
 
-/** Whether another process, or a later moment, may do. */
+/** Whether the call may succeed at another process or later. */
 export function isTransient({code, name}: Refusal): boolean {
-  return code === commonCodes.unreachable.number || passing.includes(name);
+  return code === commonCodes.unreachable.number || retryable.includes(name);
 }
 
 /**
- * The last process refused. An earlier sending may have run all the same, and
- * then the refusal must not say that nothing did.
+ * Returns the reply for a call that was finally refused. If an earlier attempt
+ * may have run, the refusal must not state that nothing was run.
  */
 export function toFinalRefusal(last: Refusal, effect: Effect): Reply<never> {
   if (effect !== 'unknown') return {ok: false, refusal: last};
-  const message = `an earlier sending may have run; then: ${last.message}`;
+  const message = `an earlier attempt may have run; then: ${last.message}`;
   return {ok: false, refusal: {...last, message, effect}};
 }
 
-/** What a caller is told when time is up. */
+/** Returns the reply for a call that was not answered within its timeout. */
 export function toTimeoutRefusal(last: Refusal, effect: Effect): Reply<never> {
   const {unreachable} = commonCodes;
   if (effect !== 'unknown') return {ok: false, refusal: {...last, effect}};
@@ -52,7 +52,7 @@
   return {ok: false, refusal: {...createRefusal(unreachable, message), effect}};
 }
 
-/** What a call that threw stands for. */
+/** Converts the error of a failed call to a refusal. */
 export function toRefusal(address: Address, error: Error): Refusal {
   if (error instanceof TRPCClientError) {
     const refusal = (error.data as {refusal?: Refusal} | undefined)?.refusal;
@@ -60,7 +60,7 @@
   }
   const code = findSystemCode(error);
   const message = `${address} did not answer${code ? `: ${code}` : ''}`;
-  const effect = neverSent.includes(code ?? '') ? 'not-run' : 'unknown';
+  const effect = connectErrors.includes(code ?? '') ? 'not-run' : 'unknown';
   return {...createRefusal(commonCodes.unreachable, message), effect};
 }
 
--- a/src/operator/control-group.test.ts
+++ b/src/operator/control-group.test.ts
@@ -11,7 +11,9 @@
 import type {Reply} from './messages.js';
 import {createOperatorService} from './service.js';
 
-/** A control group with the real protocol over fake disks and network. */
+/**
+ * A control group with the real consensus protocol, and fake disks and network.
+ */
 interface Control {
   readonly group: TestGroup;
   machine(name: string): ConfigurationMachine;
@@ -21,19 +23,21 @@
 
 async function createControl(): Promise<Control> {
   const machines = new Map<string, ConfigurationMachine>();
-  let starting = '';
+  let startingMember = '';
   const group = createTestGroup(3, {
     snapshotEntries: 8,
-    /** Read at each start of a member, which gets a machine of its own. */
+    /**
+     * Read at each start of a member, so that each one gets a separate machine.
+     */
     get machine() {
       const machine = createSampleMachine();
-      machines.set(starting, machine);
+      machines.set(startingMember, machine);
       return machine;
     },
   });
 
   async function start(name: string): Promise<void> {
-    starting = name;
+    startingMember = name;
     await group.start(name);
   }
 
@@ -63,20 +67,20 @@
   return {operator: 'amina', sequence, expectedVersion, edits};
 }
 
-// The leader accepts a change under an expected version and its VM dies before
-// the answer reaches the operator. The operator resends to the next leader and
-// later, after snapshots, to a group whose every process was killed. Each time
-// the first answer comes back and the change has run once.
-test('a resend gets its first answer from each later leader of a real group', async t => {
+// Guards against changes that run twice. The leader accepts a change and its VM
+// fails before the answer arrives. The operator resends the change to the next
+// leader, and again after snapshots and a restart of all processes. Each resend
+// must get the first answer, and the change must have run once.
+test('a resend gets the first answer from every later leader', async t => {
   const {group, start, change, machine} = await createControl();
   const first = group.leader()!;
-  const begun = await change(first, put(1));
-  const version = begun.ok ? begun.value.version : 0;
-  const lost = await change(first, put(2, version));
+  const initial = await change(first, put(1));
+  const version = initial.ok ? initial.value.version : 0;
+  const firstAnswer = await change(first, put(2, version));
   group.kill(first);
   const second = await group.elect();
   t.not(second, first);
-  t.deepEqual(await change(second, put(2, version)), lost);
+  t.deepEqual(await change(second, put(2, version)), firstAnswer);
 
   for (let sequence = 3; sequence <= 30; sequence++) {
     t.true((await change(second, put(sequence))).ok);
@@ -86,7 +90,7 @@
   for (const name of group.names) group.kill(name);
   for (const name of group.names) await start(name);
   const third = await group.elect();
-  t.deepEqual(await change(third, put(2, version)), lost);
+  t.deepEqual(await change(third, put(2, version)), firstAnswer);
   await group.run(1000);
   const digests = group.names.map(name => machine(name).digest());
   t.is(new Set(digests).size, 1);
@@ -95,7 +99,7 @@
   t.true(group.member(third).consensus!.status().snapshotIndex > 0);
 });
 
-test('a follower names the operators’ address of the leader', async t => {
+test('a follower returns the operators’ address of the leader', async t => {
   const {group, change} = await createControl();
   await group.run(200);
   const leader = group.leader()!;
@@ -107,27 +111,28 @@
   });
 });
 
-// Operators at the two sides of a silent cut send changes under one version.
-// The isolated leader must accept nothing; the majority's leader accepts one,
-// and after the cut the other learns that it lost.
-test('operators on two sides of a cut: one wins, the other gets a conflict', async t => {
+// Guards against split brain. Operators on both sides of a network partition send
+// changes for the same expected version. The isolated leader must not accept
+// any; the majority's leader accepts one, and after the partition has healed the
+// other change gets a conflict.
+test('of two changes on both sides of a network partition, one is accepted and the other gets a conflict', async t => {
   const {group, change} = await createControl();
-  const old = group.leader()!;
-  const begun = await change(old, put(1));
-  const version = begun.ok ? begun.value.version : 0;
-  group.isolate(old);
-  const isolated = await change(old, put(2, version));
+  const oldLeader = group.leader()!;
+  const initial = await change(oldLeader, put(1));
+  const version = initial.ok ? initial.value.version : 0;
+  group.isolate(oldLeader);
+  const isolated = await change(oldLeader, put(2, version));
   t.false(isolated.ok);
   await group.until(() => {
     const leader = group.leader();
-    return leader !== undefined && leader !== old;
+    return leader !== undefined && leader !== oldLeader;
   });
   const daulet = {...put(9, version), operator: 'daulet'};
-  const won = await change(group.leader()!, daulet);
-  t.true(won.ok && won.value.code === 1000);
+  const accepted = await change(group.leader()!, daulet);
+  t.true(accepted.ok && accepted.value.code === 1000);
   group.network.heal();
   await group.run(2000);
   const late = await change(group.leader()!, put(2, version));
   t.is(late.ok && late.value.code, 2000);
-  t.is(late.ok && late.value.version, won.ok && won.value.version);
+  t.is(late.ok && late.value.version, accepted.ok && accepted.value.version);
 });
--- a/src/operator/control-processes.test.ts
+++ b/src/operator/control-processes.test.ts
@@ -9,24 +9,27 @@
 import {startControlProcesses} from './testing/control-processes.js';
 import type {ControlProcesses} from './testing/control-processes.js';
 
-/** Generous: only a hang gets there. */
-const patience = 60_000;
+/** Timeout in milliseconds; long enough that only a hang exceeds it. */
+const timeout = 60_000;
 
 interface Deployment {
   readonly control: ControlProcesses;
-  /** Asks the address at `first` first, and then the others and `more`. */
+  /**
+   * Creates a client that tries the address at index `first`, then the others
+   * and `more`.
+   */
   client(
     first: number,
     more?: readonly string[],
     attemptTimeout?: number,
   ): OperatorClient;
-  /** What the processes that answer say of themselves. */
+  /** Returns the views of the processes that answer. */
   views(): Promise<readonly ControlView[]>;
   leader(): Promise<string>;
-  /** Resolves once a leader has `joined` in its group and `left` out of it. */
+  /** Resolves once `joined` is a member of the group and `left` is not. */
   counts(joined: string, left: string): Promise<true>;
-  /** Resolves once all processes hold the same state. */
-  agree(): Promise<string>;
+  /** Resolves once all processes have the same state. */
+  convergence(): Promise<string>;
 }
 
 async function deploy(t: ExecutionContext): Promise<Deployment> {
@@ -43,15 +46,15 @@
     attemptTimeout = 1000,
   ): OperatorClient {
     const {addresses} = control;
-    const before = addresses.slice(0, first);
-    const made = createOperatorClient({
-      addresses: [...addresses.slice(first), ...before, ...more],
+    const preceding = addresses.slice(0, first);
+    const created = createOperatorClient({
+      addresses: [...addresses.slice(first), ...preceding, ...more],
       timers: createTimers(),
       attemptTimeout,
-      timeout: patience,
+      timeout,
     });
-    clients.push(made);
-    return made;
+    clients.push(created);
+    return created;
   }
 
   const watcher = client(0);
@@ -61,14 +64,14 @@
     return replies.flatMap(reply => (reply.ok ? [reply.value] : []));
   }
 
-  async function until<T>(look: () => Promise<T | undefined>): Promise<T> {
-    const end = Date.now() + patience;
+  async function poll<T>(check: () => Promise<T | undefined>): Promise<T> {
+    const end = Date.now() + timeout;
     while (Date.now() < end) {
-      const found = await look();
+      const found = await check();
       if (found !== undefined) return found;
       await new Promise(resolve => setTimeout(resolve, 100));
     }
-    throw new Error('it did not come to pass');
+    throw new Error('the condition was not met in time');
   }
 
   return {
@@ -76,11 +79,11 @@
     client,
     views,
     leader: () =>
-      until(
+      poll(
         async () => (await views()).find(({role}) => role === 'leader')?.name,
       ),
     counts: (joined, left) =>
-      until(async () => {
+      poll(async () => {
         const leading = (await views()).find(({role}) => role === 'leader');
         if (leading === undefined || leading.learners.length > 0) return;
         const names = leading.members.map(({name}) => name);
@@ -88,16 +91,19 @@
           ? true
           : undefined;
       }),
-    agree: () =>
-      until(async () => {
+    convergence: () =>
+      poll(async () => {
         const digests = (await views()).map(({digest}) => digest);
-        const isWhole = digests.length === 3 && new Set(digests).size === 1;
-        return isWhole ? digests[0] : undefined;
+        const isConverged = digests.length === 3 && new Set(digests).size === 1;
+        return isConverged ? digests[0] : undefined;
       }),
   };
 }
 
-/** A change must end in an answer, whatever was killed meanwhile. */
+/**
+ * Returns the answer to a change; fails if there is none, whatever was killed
+ * meanwhile.
+ */
 function answerOf(reply: Reply<Answer>): Answer {
   if (reply.ok) {
     const {code, message, version} = reply.value;
@@ -106,15 +112,14 @@
   throw new Error(reply.refusal.message);
 }
 
-// Two operators send different changes under the version that both saw, to
-// different control processes; in some rounds the leader is killed with
-// SIGKILL while they are on their way, and comes back later. Each operator's
-// client resends under the command's id. In every round one operator is told
-// that it won and the other by which version, and sending both commands again
-// later gives the same two answers.
-test('operators race while leaders are killed: one winner a round, and resends agree', async t => {
-  t.timeout(3 * patience);
-  const {control, client, leader, agree} = await deploy(t);
+// Guards against lost or duplicated changes when the leader fails. In each
+// round two operators send different changes for the same expected version to
+// different control processes. In some rounds the leader is killed with SIGKILL
+// while the changes are pending, and is restarted later; the clients resend.
+// Exactly one change must be accepted, and later resends get the same answers.
+test('of concurrent changes exactly one is accepted while leaders are killed, and resends get the same answers', async t => {
+  t.timeout(3 * timeout);
+  const {control, client, leader, convergence} = await deploy(t);
   const operators = ['amina', 'daulet'].map((operator, index) => ({
     operator,
     client: client(index),
@@ -155,22 +160,22 @@
     });
   }
 
-  await agree();
+  await convergence();
   for (const {command, answer} of sent) {
-    const again = await operators[0]!.client.change(command);
-    t.deepEqual(answerOf(again), answer);
+    const resent = await operators[0]!.client.change(command);
+    t.deepEqual(answerOf(resent), answer);
   }
   const history = await operators[0]!.client.history(50);
   t.is(history.ok && history.value.changes.length, 13);
 });
 
-// The leader is frozen and the group elects another, which accepts a change.
-// When the old leader goes on it still takes itself for the leader, and an
-// operator asks it before it learns better. It must neither accept under the
-// old version nor show the old configuration.
-test('a leader that was frozen accepts and shows nothing old', async t => {
-  t.timeout(3 * patience);
-  const {control, client, leader, agree} = await deploy(t);
+// Guards against a stale leader. The leader is suspended and the group elects
+// another, which accepts a change. After the old leader resumes, it still acts
+// as leader until it receives the new term. In this time it must neither accept
+// a change for the old version nor return the old configuration.
+test('a leader that was suspended neither accepts changes for nor returns an old version', async t => {
+  t.timeout(3 * timeout);
+  const {control, client, leader, convergence} = await deploy(t);
   const amina = client(0);
   const put = (sequence: number, expectedVersion?: number): Command => ({
     operator: 'amina',
@@ -179,15 +184,15 @@
     edits: [putService('crewbook', sequence)],
   });
   const {version} = answerOf(await amina.change(put(1)));
-  const old = await leader();
-  const position = control.names.indexOf(old);
-  control.suspend(old);
-  const next = client((position + 1) % 3);
-  const won = answerOf(await next.change(put(2, version)));
-  t.is(won.code, 1000);
-
-  control.resume(old);
-  const daulet = client(position);
+  const oldLeader = await leader();
+  const oldIndex = control.names.indexOf(oldLeader);
+  control.suspend(oldLeader);
+  const otherClient = client((oldIndex + 1) % 3);
+  const accepted = answerOf(await otherClient.change(put(2, version)));
+  t.is(accepted.code, 1000);
+
+  control.resume(oldLeader);
+  const daulet = client(oldIndex);
   const command = {...put(3, version), operator: 'daulet'};
   const [late, shown] = await Promise.all([
     daulet.change(command),
@@ -195,29 +200,29 @@
   ]);
   const refused = answerOf(late);
   t.is(refused.code, 2000);
-  t.is(refused.version, won.version);
-  t.true(shown.ok && shown.value.version >= won.version);
-  await agree();
+  t.is(refused.version, accepted.version);
+  t.true(shown.ok && shown.value.version >= accepted.version);
+  await convergence();
 });
 
-// A VM is lost with its disk. Operators put another in its place, and as soon
-// as they are told that it counts, a second of the first three is lost with its
-// disk. What was accepted before and between must still be there, and the two
-// that are left, one of them new, must accept more.
-test('a second VM is lost right after the repair of the first, disks and all', async t => {
-  t.timeout(3 * patience);
+// Guards against a replacement that is reported too early. A VM is lost with its
+// disk and replaced. As soon as the replacement is reported as done, a second
+// one of the initial VMs is lost with its disk. All accepted changes must be
+// kept, and the two remaining processes must accept new changes.
+test('no change is lost if a second VM and its disk fail right after the first was replaced', async t => {
+  t.timeout(3 * timeout);
   const {control, client, leader, counts} = await deploy(t);
   const put = (sequence: number, name: string): Command => ({
     operator: 'amina',
     sequence,
     edits: [putService(name)],
   });
-  // Nothing is frozen here, and a replacement takes as long as the new process
-  // takes to start and to learn all.
-  const before = client(0, [], patience);
+  // No process is suspended in this test, so an attempt may last as long as the
+  // new process needs to start and to receive the log.
+  const before = client(0, [], timeout);
   answerOf(await before.change(put(1, 'crewbook')));
-  const last = await leader();
-  const lost = control.names.find(name => name !== last)!;
+  const initialLeader = await leader();
+  const lost = control.names.find(name => name !== initialLeader)!;
   await control.destroy(lost);
   const joining = await control.join('control-4', lost);
   const replaced = await before.replace(lost, {
@@ -226,19 +231,19 @@
     failureDomain: joining.failureDomain,
   });
   if (!replaced.ok) {
-    // Leadership moved on a busy machine: the operator is told that it is not
-    // known, and sees in the status when it is done.
+    // On a busy machine the leader may change. The outcome is then reported as
+    // unknown, and the status shows when the replacement is complete.
     t.is(replaced.refusal.effect, 'unknown', JSON.stringify(replaced));
     await counts(joining.name, lost);
   }
   const accepted = answerOf(await before.change(put(2, 'drillvault')));
-  await control.destroy(last);
+  await control.destroy(initialLeader);
 
   const after = client(0, [joining.operatorAddress]);
   answerOf(await after.change(put(3, 'stock-desk')));
   const shown = await after.items('service');
   const names = shown.ok ? shown.value.items.map(({value}) => value.name) : [];
   t.deepEqual(names, ['crewbook', 'drillvault', 'stock-desk']);
-  const again = await after.change(put(2, 'drillvault'));
-  t.deepEqual(answerOf(again), accepted);
+  const resent = await after.change(put(2, 'drillvault'));
+  t.deepEqual(answerOf(resent), accepted);
 });
--- a/src/operator/create-operator-client.ts
+++ b/src/operator/create-operator-client.ts
@@ -26,65 +26,78 @@
 import {maxWait} from './router.js';
 import type {OperatorRouter} from './router.js';
 
-/** What a client of the operators' API is made of. */
+/** Options of createOperatorClient. */
 export interface OperatorClientOptions {
-  /** Operators' addresses of control processes, the first tried first. */
+  /**
+   * Operators' addresses of control processes, in the order in which they are
+   * tried.
+   */
   readonly addresses: readonly Address[];
   readonly token?: string;
   readonly timers: Timers;
-  /** Milliseconds after which a request without an answer is tried elsewhere. */
+  /**
+   * Milliseconds after which a request without an answer is sent to another
+   * process.
+   */
   readonly attemptTimeout?: number;
   /** Milliseconds after which the client gives up. */
   readonly timeout?: number;
 }
 
-/** An answer and how it came. */
+/** The answer to a change, with how it was obtained. */
 export interface ClientAnswer extends Answer {
-  /** Whether an earlier sending may have run, its answer lost. */
+  /** Whether an earlier attempt, whose answer was lost, may have run. */
   readonly isResent: boolean;
 }
 
-/** Asks the control group; each call goes on until answered or timed out. */
+/**
+ * Client of the control group; each call is retried until it is answered or
+ * times out.
+ */
 export interface OperatorClient {
-  /** Resent under its id until it has an answer. */
+  /** Resends the command under its id until it is answered. */
   change(command: Command): Promise<Reply<ClientAnswer>>;
   items(kind: Kind, name?: string): Promise<Reply<Items>>;
   history(count: number): Promise<Reply<History>>;
   inForce(): Promise<Reply<InForceStatus>>;
   wait(version: number, within: number): Promise<Reply<WaitResult>>;
-  /** The group as each address sees it, in the order of the addresses. */
+  /**
+   * Returns the group as each process sees it, in the order of the addresses.
+   */
   control(): Promise<readonly Reply<ControlView>[]>;
   replace(leaving: string, joining: Member): Promise<Reply<null>>;
   acceptLoss(service: string): Promise<Reply<Answer>>;
-  /** Closes the connections; calls under way end first. */
+  /** Closes the connections after the pending calls have ended. */
   close(): Promise<void>;
 }
 
 type Api = TRPCClient<OperatorRouter>;
 
-/** How one call may be tried again. */
+/** A call and the rules for its retries. */
 interface Call<T> {
   readonly run: (api: Api, signal: AbortSignal) => Promise<Reply<T>>;
   /**
-   * `always`: a query, or a command whose id makes a resend safe. `not-run`:
-   * only when it certainly did not run.
+   * `always`: for queries, and commands whose id makes a resend safe.
+   * `not-run`: resend only if the call certainly did not run.
    */
   readonly resend: 'always' | 'not-run';
-  /** What is left behind when no answer ever came. */
+  /** Effect to report if an attempt may have run and no answer arrives. */
   readonly effect: Effect;
-  /** Called when a sending may have run and its answer is lost. */
+  /** Called when an attempt may have run and its answer was lost. */
   readonly onLost?: () => void;
-  /** Milliseconds for one attempt, if not the client's own. */
+  /** Timeout of one attempt in milliseconds; by default that of the client. */
   readonly limit?: number;
 }
 
-/** Milliseconds that each attempt gets, however late it is. */
-const shortestAttempt = 50;
+/**
+ * Minimum timeout of an attempt in milliseconds, also close to the deadline.
+ */
+const minAttemptTimeout = 50;
 
-/** Milliseconds between two rounds over all addresses. */
+/** Delay between two rounds over all addresses, in milliseconds. */
 export const roundDelay = 100;
 
-/** Creates a client that knows several control processes. */
+/** Creates a client that can use several control processes. */
 export function createOperatorClient(
   options: OperatorClientOptions,
 ): OperatorClient {
@@ -115,16 +128,19 @@
     }
   }
 
-  async function ask<T>(call: Call<T>, extra = 0): Promise<Reply<T>> {
+  async function callUntilAnswered<T>(
+    call: Call<T>,
+    extra = 0,
+  ): Promise<Reply<T>> {
     const deadline = timers.now() + timeout + extra;
     const {limit = attemptTimeout} = call;
     let effect: Effect = 'not-run';
-    for (let tries = 1; ; tries++) {
-      const left = Math.max(shortestAttempt, deadline - timers.now());
+    for (let attempts = 1; ; attempts++) {
+      const timeLeft = Math.max(minAttemptTimeout, deadline - timers.now());
       const reply = await attempt(
         preferred,
         call,
-        Math.min(limit + extra, left),
+        Math.min(limit + extra, timeLeft),
       );
       if (reply.ok) return reply;
       if (!isTransient(reply.refusal))
@@ -136,12 +152,12 @@
       if (effect === 'unknown' && call.resend === 'not-run') return reply;
       if (timers.now() >= deadline)
         return toTimeoutRefusal(reply.refusal, effect);
-      preferred = reply.refusal.leader ?? after(preferred);
-      if (tries % options.addresses.length === 0) await pause();
+      preferred = reply.refusal.leader ?? nextAddress(preferred);
+      if (attempts % options.addresses.length === 0) await pause();
     }
   }
 
-  function after(address: Address): Address {
+  function nextAddress(address: Address): Address {
     const next = options.addresses.indexOf(address) + 1;
     return options.addresses[next % options.addresses.length]!;
   }
@@ -151,7 +167,7 @@
   }
 
   function query<T>(run: Call<T>['run'], extra?: number): Promise<Reply<T>> {
-    return ask({run, resend: 'always', effect: 'not-run'}, extra);
+    return callUntilAnswered({run, resend: 'always', effect: 'not-run'}, extra);
   }
 
   async function wait(
@@ -160,10 +176,10 @@
   ): Promise<Reply<WaitResult>> {
     const deadline = timers.now() + within;
     for (;;) {
-      const left = Math.max(0, deadline - timers.now());
-      const input = {version, within: Math.min(left, maxWait)};
+      const timeLeft = Math.max(0, deadline - timers.now());
+      const input = {version, within: Math.min(timeLeft, maxWait)};
       const reply = await query(
-        async (api, signal) => wrap(await api.wait.query(input, {signal})),
+        async (api, signal) => toReply(await api.wait.query(input, {signal})),
         input.within,
       );
       if (!reply.ok || reply.value.inForce) return reply;
@@ -174,7 +190,7 @@
   function control(): Promise<Reply<ControlView>[]> {
     const call: Call<ControlView> = {
       run: async (api, signal) =>
-        wrap(await api.control.query(undefined, {signal})),
+        toReply(await api.control.query(undefined, {signal})),
       resend: 'not-run',
       effect: 'not-run',
     };
@@ -185,7 +201,7 @@
 
   async function change(command: Command): Promise<Reply<ClientAnswer>> {
     let isResent = false;
-    const reply = await ask<Answer>({
+    const reply = await callUntilAnswered<Answer>({
       run: (api, signal) => api.change.mutate(command, {signal}),
       resend: 'always',
       effect: 'unknown',
@@ -205,18 +221,18 @@
       query((api, signal) => api.history.query({count}, {signal})),
     inForce: () =>
       query(async (api, signal) =>
-        wrap(await api.inForce.query(undefined, {signal})),
+        toReply(await api.inForce.query(undefined, {signal})),
       ),
     wait,
     control,
     replace: (leaving, joining) =>
-      ask({
+      callUntilAnswered({
         run: (api, signal) => api.replace.mutate({leaving, joining}, {signal}),
         resend: 'not-run',
         effect: 'unknown',
       }),
     acceptLoss: service =>
-      ask({
+      callUntilAnswered({
         run: (api, signal) => api.acceptLoss.mutate({service}, {signal}),
         resend: 'not-run',
         effect: 'unknown',
@@ -242,6 +258,6 @@
   });
 }
 
-function wrap<T>(value: T): Reply<T> {
+function toReply<T>(value: T): Reply<T> {
   return {ok: true, value};
 }
--- a/src/operator/exit-codes.ts
+++ b/src/operator/exit-codes.ts
@@ -2,23 +2,31 @@
 import {commonCodes} from '../result/codes.js';
 import type {Refusal} from './messages.js';
 
-/** Exit codes of the operator commands; the highest of a session is given. */
+/**
+ * Exit codes of operator commands; a shell exits with the highest of its
+ * commands.
+ */
 export const operatorExitCodes = {
-  /** Accepted, or answered. */
+  /** The change was accepted, or the query was answered. */
   accepted: 0,
-  /** The command line or the command can't be read; nothing was sent. */
+  /** The command line or the command is invalid; nothing was sent. */
   usage: 2,
-  /** Refused; nothing was changed. */
+  /** The command was refused; nothing was changed. */
   refused: 3,
-  /** Another change came first; look and send again under a new sequence. */
+  /**
+   * Another change was accepted first; review it and retry under a new
+   * sequence.
+   */
   conflict: 4,
-  /** Not known whether it was accepted; resend under the same id. */
+  /**
+   * It is unknown whether the change was accepted; resend it under the same id.
+   */
   unknown: 5,
   /** No control process could be reached; nothing was sent. */
   unreachable: 6,
 } as const;
 
-/** The exit code that a refusal stands for. */
+/** Returns the exit code for a refusal. */
 export function refusalExitCode({code, effect}: Refusal): number {
   if (effect === 'unknown') return operatorExitCodes.unknown;
   if (code === commonCodes.unreachable.number) {
@@ -27,7 +35,7 @@
   return codeExitCode(code);
 }
 
-/** The exit code that the number of a result code stands for. */
+/** Returns the exit code for the number of a result code. */
 export function codeExitCode(code: number): number {
   switch (code) {
     case commonCodes.ok.number:
--- a/src/operator/fakes/short-timeout-client.ts
+++ b/src/operator/fakes/short-timeout-client.ts
@@ -3,8 +3,9 @@
 import type {OperatorClient} from '../create-operator-client.js';
 
 /**
- * A client that soon gives up, by a time that passes in its pauses alone: its
- * attempts have no limit, so what it says does not hang on the machine's speed.
+ * Creates a client with a short timeout. Its clock advances only in the delays
+ * between rounds, and its attempts never time out, so its results do not depend
+ * on the speed of the machine.
  */
 export function createShortTimeoutClient(
   addresses: readonly string[],
--- a/src/operator/fetch.ts
+++ b/src/operator/fetch.ts
@@ -1,7 +1,7 @@
 import {request} from 'undici';
 import type {Dispatcher} from 'undici';
 
-/** The part of a fetch request that trpc's client uses. */
+/** The options of a fetch request that the tRPC client uses. */
 interface Options {
   readonly method?: string;
   readonly headers?: unknown;
@@ -9,27 +9,28 @@
   readonly signal?: AbortSignal | null;
 }
 
-/** The part of a response that trpc's client uses. */
+/** The part of a response that the tRPC client uses. */
 interface Response {
   readonly ok: boolean;
   json(): Promise<unknown>;
 }
 
 /**
- * A fetch for trpc's client over `undici.request`: the built-in one refuses
- * the ports that browsers do, and a control process may listen on any.
+ * Creates a fetch function for the tRPC client, based on `undici.request`. The
+ * built-in fetch refuses the ports that browsers block, but a control process
+ * may listen on any port.
  */
 export function createFetch(dispatcher: Dispatcher) {
   return async (url: unknown, options: Options = {}): Promise<Response> => {
     const {method = 'GET', headers, body, signal} = options;
-    const answer = await request(String(url), {
+    const response = await request(String(url), {
       dispatcher,
       method: method as Dispatcher.HttpMethod,
       headers: headers as Record<string, string>,
       body: body as string | undefined,
       signal,
     });
-    const ok = answer.statusCode >= 200 && answer.statusCode < 300;
-    return {ok, json: () => answer.body.json()};
+    const ok = response.statusCode >= 200 && response.statusCode < 300;
+    return {ok, json: () => response.body.json()};
   };
 }
--- a/src/operator/help.ts
+++ b/src/operator/help.ts
@@ -1,5 +1,5 @@
-/** What the command `help` prints. */
-export const languageHelp = `Changes (several with ";" between, or lines in begin ... end, are one change):
+/** Text printed by the command `help`. */
+export const languageHelp = `Changes (edits separated by ";", or lines in begin ... end, form one change):
   put service NAME [slow-start DURATION]
   put policy NAME deadline DURATION [priority critical|normal|background]
       [attempts N] [repeat once|idempotent] [body SIZE]
@@ -8,36 +8,36 @@
   remove service|policy|route NAME
   drain INSTANCE of SERVICE
   undrain INSTANCE
-  release QUARANTINE           lets a request through that was held back
-  apply "FILE"                 all edits of a file as one change
-In front of a change:
+  release QUARANTINE           end a request's quarantine
+  apply "FILE"                 apply all edits of a file as one change
+Before a change:
   as OPERATOR/SEQUENCE         the command's id; a resend gets the first answer
   expect VERSION               refuse unless this version is in force
 Queries:
   show services|policies|routes|drains|quarantines [NAME]
-  show in force                what is in force where, and who is behind
-  show control                 the control group
+  show in force                versions in force, and the nodes that are behind
+  show control                 state of the control group
   history [N]                  the last changes
   wait VERSION [within DURATION]
 The keepers of a service:
-  accept loss of SERVICE       its keepers are stopped and their claims given up
+  accept loss of SERVICE       confirm its keepers are stopped; give up their claims
 The control group:
   replace control OLD with NEW at ADDRESS in FAILURE-DOMAIN
 `;
 
-/** What `--help` prints before the language. */
-export const optionsHelp = `foxbarrow [options] COMMAND...   one command
-foxbarrow [options] shell        commands from standard input, one a line
+/** Text that `--help` prints before `languageHelp`. */
+export const optionsHelp = `foxbarrow [options] COMMAND...   run one command
+foxbarrow [options] shell        run commands from standard input, one per line
 
 Options:
-  --control ADDRESS   a control process, IP number and port; repeat for more
-                      (else FOXBARROW_CONTROL, with commas between)
-  --operator NAME     whose command it is (else FOXBARROW_OPERATOR)
-  --token-file FILE   file with the operator token (else FOXBARROW_TOKEN)
-  --timeout SECONDS   how long to try, 10 by default
-  --json              one JSON object for each command
+  --control ADDRESS   IP number and port of a control process; may be repeated
+                      (default: FOXBARROW_CONTROL, separated by commas)
+  --operator NAME     name of the operator (default: FOXBARROW_OPERATOR)
+  --token-file FILE   file with the operator token (default: FOXBARROW_TOKEN)
+  --timeout SECONDS   how long to try a command (default: 10)
+  --json              print one JSON object per command
 
 Exit codes: 0 accepted; 2 usage; 3 refused; 4 conflict; 5 unknown outcome;
-6 no control process reached. A session gives its highest.
+6 no control process reached. A shell exits with the highest of its commands.
 
 `;
--- a/src/operator/item-normalizer.test.ts
+++ b/src/operator/item-normalizer.test.ts
@@ -8,23 +8,23 @@
   value: {name, slowStart: 0},
 });
 
-test('an item that was shaped before is the same object again', async t => {
-  const shaper = createItemNormalizer();
+test('an item that was normalized before gives the same object again', async t => {
+  const normalizer = createItemNormalizer();
   const kept = item('records');
-  const first = await shaper.normalize([kept]);
-  const next = await shaper.normalize([item('uploads'), kept]);
-  if (!first.ok || !next.ok) return t.fail('not shaped');
+  const first = await normalizer.normalize([kept]);
+  const next = await normalizer.normalize([item('uploads'), kept]);
+  if (!first.ok || !next.ok) return t.fail('not normalized');
   t.is(next.value[1], first.value[0]);
   t.deepEqual(next.value[0], item('uploads'));
 });
 
-test('the first item that is wrong is told by its place, also beside known ones', async t => {
-  const shaper = createItemNormalizer();
+test('the first invalid item is reported with its index, also among cached items', async t => {
+  const normalizer = createItemNormalizer();
   const kept = item('records');
-  await shaper.normalize([kept]);
-  const shaped = await shaper.normalize([kept, item('Not A Name')]);
-  t.false(shaped.ok);
-  if (shaped.ok) return;
-  t.is(shaped.code, configurationCodes.invalidInput);
-  t.regex(shaped.message, /^1\.value\.name: /);
+  await normalizer.normalize([kept]);
+  const normalized = await normalizer.normalize([kept, item('Not A Name')]);
+  t.false(normalized.ok);
+  if (normalized.ok) return;
+  t.is(normalized.code, configurationCodes.invalidInput);
+  t.regex(normalized.message, /^1\.value\.name: /);
 });
--- a/src/operator/item-normalizer.ts
+++ b/src/operator/item-normalizer.ts
@@ -1,4 +1,7 @@
-/** Brings items of whole revisions into the one shape that all processes keep. */
+/**
+ * Validates the items of complete revisions and converts them to their normal
+ * form.
+ */
 import {configurationCodes} from '../configuration/codes.js';
 import type {Item} from '../configuration/configuration.js';
 import {itemShape} from '../configuration/shape.js';
@@ -7,47 +10,50 @@
 import {firstProblem} from '../result/first-problem.js';
 import {nextTurn} from '../time/turn.js';
 
-/** Shapes items. */
 export interface ItemNormalizer {
-  /** The items in their shape, or the first thing that is wrong with one. */
+  /** Returns the items in their normal form, or the first problem found. */
   normalize(items: readonly Item[]): Promise<Result<Item[]>>;
 }
 
-/** New items between two turns of the loop; 50 take 1 ms of processor time. */
+/**
+ * New items that are processed in one turn of the event loop; 50 take 1 ms of
+ * processor time.
+ */
 const itemsPerTurn = 50;
 
 /**
- * Creates a shaper. Items are never changed in place, so one that was shaped
- * before has its shape by identity; of a revision of 1,700 routes that changes
- * one, one is checked in place of all, which took 20 to 55 ms in one turn.
+ * Creates a normalizer that caches its results by object identity, since items
+ * are never modified in place. If a revision of 1,700 routes changes one of
+ * them, only that one is validated; to validate all of them in one turn took 20
+ * to 55 ms.
  */
 export function createItemNormalizer(): ItemNormalizer {
-  const shaped = new WeakMap<Item, Item>();
+  const cache = new WeakMap<Item, Item>();
 
   return {
     async normalize(items) {
-      const done: Item[] = [];
-      let fresh = 0;
-      for (const [at, item] of items.entries()) {
-        const before = shaped.get(item);
-        if (before !== undefined) {
-          done.push(before);
+      const normalized: Item[] = [];
+      let newItems = 0;
+      for (const [index, item] of items.entries()) {
+        const cached = cache.get(item);
+        if (cached !== undefined) {
+          normalized.push(cached);
           continue;
         }
-        const result = shapeItem(item, at);
+        const result = normalizeItem(item, index);
         if (!result.ok) return result;
-        shaped.set(item, result.value);
-        done.push(result.value);
-        fresh++;
-        if (fresh % itemsPerTurn === 0) await nextTurn();
+        cache.set(item, result.value);
+        normalized.push(result.value);
+        newItems++;
+        if (newItems % itemsPerTurn === 0) await nextTurn();
       }
-      return success(done);
+      return success(normalized);
     },
   };
 }
 
-function shapeItem(item: Item, at: number): Result<Item> {
-  const parsed = itemShape.safeParse(item, {path: [at]});
+function normalizeItem(item: Item, index: number): Result<Item> {
+  const parsed = itemShape.safeParse(item, {path: [index]});
   if (parsed.success) return success(parsed.data);
   const problem = firstProblem(parsed.error, 'the item');
   return failure(configurationCodes.invalidInput, problem);
--- a/src/operator/limits.test.ts
+++ b/src/operator/limits.test.ts
@@ -21,7 +21,7 @@
 ];
 
 for (const [limit, value, edits] of cases) {
-  test(`a command over ${limit} is refused by name: ${edits.length} edits, ${edits[0]!.action}`, t => {
+  test(`a command over limits.${limit} is refused with the name of the limit: ${edits.length} edits, ${edits[0]!.action}`, t => {
     const command = {operator: 'amina', sequence: 1, edits};
     const tight = {...defaults.limits, [limit]: value};
     const refused = checkLimits(command, tight, 1000);
@@ -33,9 +33,9 @@
   });
 }
 
-// One command with a sequence years ahead would, once dropped from the answer
-// table, put the floor above every sequence that clients take from clocks, and
-// no operator could change anything. So it is refused before it is kept.
+// Once a sequence years ahead was evicted from the answer table, the floor would
+// be above all sequences that clients take from their clocks, and no operator
+// could make changes. So such a command is refused before it enters the log.
 test('a sequence far ahead of the clock is refused', t => {
   const command = (sequence: number) => ({
     operator: 'amina',
--- a/src/operator/messages.ts
+++ b/src/operator/messages.ts
@@ -4,28 +4,30 @@
 import type {Member, Role} from '../consensus/consensus.js';
 import type {FleetSummary} from '../fleet/summary.js';
 
-/** A refusal or failure as it travels to the client. */
+/** A refusal or failure as it is sent to the client. */
 export interface Refusal {
   readonly code: number;
   readonly name: string;
   readonly effect: Effect;
   readonly message: string;
-  /** The operators' address of the leader, when another process must be asked. */
+  /**
+   * The operators' address of the leader, if the request must be sent there.
+   */
   readonly leader?: string;
 }
 
-/** What the operators' API answers. */
+/** A reply of the operators' API. */
 export type Reply<T> =
   | {readonly ok: true; readonly value: T}
   | {readonly ok: false; readonly refusal: Refusal};
 
-/** Items in force at one version. */
+/** Items of the configuration, with its version. */
 export interface Items {
   readonly version: number;
   readonly items: readonly Item[];
 }
 
-/** The history, newest first. */
+/** Recent changes, the newest first. */
 export interface History {
   readonly version: number;
   readonly changes: readonly Change[];
@@ -45,21 +47,26 @@
   /** Digest of the whole replicated state at `appliedIndex`. */
   readonly digest: string;
   readonly members: readonly Member[];
-  /** Members that receive the log and do not count yet. */
+  /** Members that receive the log but do not vote yet. */
   readonly learners: readonly Member[];
 }
 
-/** What is in force where. */
+/** The versions in force across the fleet. */
 export interface InForceStatus {
-  /** Whether a majority confirmed that `summary.version` is the newest. */
+  /**
+   * Whether a majority confirmed that `summary.version` is the newest version.
+   */
   readonly confirmed: boolean;
   readonly summary: FleetSummary;
 }
 
-/** The answer to a wait. */
+/** The result of a wait. */
 export interface WaitResult {
   readonly version: number;
-  /** Whether every known node has it; never true without a node. */
+  /**
+   * Whether the version is in force on all known nodes; false if no node is
+   * known.
+   */
   readonly inForce: boolean;
   readonly summary: FleetSummary;
 }
--- a/src/operator/operator-server.test.ts
+++ b/src/operator/operator-server.test.ts
@@ -16,7 +16,7 @@
   edits: [putService('stock-desk')],
 };
 
-test('a change sent to a follower reaches the leader', async t => {
+test('a change sent to a follower is redirected to the leader', async t => {
   const {group, addresses} = await deploy(t);
   group.lead('control-3');
   const reply = await clientOf(addresses).change(command);
@@ -26,10 +26,10 @@
   });
 });
 
-// The operator sees one acceptance. The leader commits the change and loses
-// its answer, the client sends the same command to the next leader, and the
-// answer table, which is part of the replicated state, gives the first answer.
-// Without the table the change would run again and the second run would answer.
+// Guards against changes that run twice. The leader commits a change and its
+// answer is lost, so the client sends the command to the next leader. The answer
+// table, which is part of the replicated state, must give the first answer;
+// without it the change would run again.
 test('a change whose answer was lost runs once', async t => {
   const {group, addresses} = await deploy(t);
   group.decide('commit-and-lose');
@@ -39,7 +39,7 @@
   t.is(group.machine('control-2').history().length, 1);
 });
 
-test('a change without any answer ends as unknown, without a process as not sent', async t => {
+test('a change without an answer has an unknown outcome; if no process is reachable, it was not run', async t => {
   const {group, addresses, close} = await deploy(t);
   group.decide(...Array.from({length: 500}, () => 'lose' as const));
   const unknown = await createShortTimeoutClient(addresses).change(command);
@@ -50,10 +50,10 @@
   t.is(unreachable.ok ? '' : unreachable.refusal.effect, 'not-run');
 });
 
-// The leader commits a change and its answer is lost; the process asked next
-// refuses it, since its settings allow fewer edits. That the second did not run
-// says nothing of the first: "refused, nothing was changed" would be a lie.
-test('a refusal after a lost answer is an unknown outcome', async t => {
+// The leader commits a change and its answer is lost; the next process refuses
+// the resend, because its settings allow fewer edits. The refusal of the second
+// attempt does not show that the first did not run, so the outcome is unknown.
+test('a refusal after a lost answer has an unknown outcome', async t => {
   const limitOf = (name: string) => (name === 'control-1' ? 3 : 0);
   const {group, addresses} = await deploy(t, undefined, limitOf);
   group.decide('commit-and-lose');
@@ -65,7 +65,7 @@
   t.is(first.ok ? '' : first.refusal.effect, 'not-run');
 });
 
-test('changes need the token, queries do not', async t => {
+test('changes require the token, queries do not', async t => {
   const token = 'a-token-of-the-deployment';
   const {addresses} = await deploy(t, token);
   const stranger = await clientOf(addresses, 'another').change(command);
@@ -74,19 +74,19 @@
   t.true((await clientOf(addresses, token).change(command)).ok);
 });
 
-// An operator waits for a version that will not come while the process is asked
-// to stop. The stop must not sit through the wait, and the wait must still get
-// an answer: a connection cut without one would look like a failure.
-test('a planned stop answers what is under way and ends', async t => {
+// An operator waits for a version that is never reached while the process stops.
+// The wait must not delay the shutdown, and it must still be answered, since a
+// closed connection would look like a failure.
+test('a graceful shutdown answers pending requests and completes', async t => {
   const {addresses, close} = await deploy(t);
-  const asked = request(
+  const pending = request(
     `http://${addresses[0]}/wait?input=${encodeURIComponent(
       JSON.stringify({version: 9, within: 10_000}),
     )}`,
   );
   await request(`http://${addresses[0]}/inForce`).then(({body}) => body.dump());
   const closing = close();
-  const answer = (await (await asked).body.json()) as {
+  const answer = (await (await pending).body.json()) as {
     result: {data: {inForce: boolean}};
   };
   t.false(answer.result.data.inForce);
@@ -95,7 +95,7 @@
   t.is(late.ok ? 0 : late.refusal.code, 1003);
 });
 
-test('limits are checked before the log', async t => {
+test('limits are checked before a command enters the log', async t => {
   const {group, addresses} = await deploy(t);
   const edits = ['a', 'b', 'c', 'd'].map(name => putService(name));
   const reply = await clientOf(addresses).change({...command, edits});
@@ -107,7 +107,7 @@
   t.is(group.entries().length, 0);
 });
 
-test('bad requests get a numbered code and the server goes on', async t => {
+test('invalid requests are answered with a result code and the server keeps running', async t => {
   const {group, addresses} = await deploy(t);
   const post = async (body: string) => {
     const answer = await request(`http://${addresses[0]}/change`, {
--- a/src/operator/options.ts
+++ b/src/operator/options.ts
@@ -6,28 +6,31 @@
 import {failure, success} from '../result/failure.js';
 import type {Result} from '../result/failure.js';
 
-/** The options of an operator command. */
+/** Options of an operator command. */
 export interface OperatorOptions {
   readonly addresses: readonly Address[];
   readonly operator: string;
   readonly token?: string;
-  /** Milliseconds. */
+  /** How long a command is tried, in milliseconds. */
   readonly timeout: number;
   readonly json: boolean;
   readonly help: boolean;
-  /** The command itself. */
+  /** The words of the command. */
   readonly words: readonly string[];
 }
 
-/** Seconds for which a command is tried when no option says so. */
-const timeoutDefault = 10;
+/** Default of --timeout, in seconds. */
+const defaultTimeout = 10;
 
-/** Environment variables, as the process has them. */
+/** Environment variables of the process. */
 export interface Environment {
   readonly [name: string]: string | undefined;
 }
 
-/** Reads the options of an operator command from words and environment. */
+/**
+ * Reads the options of an operator command from its arguments and the
+ * environment.
+ */
 export function resolveOptions(
   args: readonly string[],
   environment: Environment,
@@ -55,8 +58,10 @@
       help: {type: 'boolean', default: false},
     },
   });
-  const listed = values.control ?? [environment['FOXBARROW_CONTROL'] ?? ''];
-  const addresses = listed
+  const addressLists = values.control ?? [
+    environment['FOXBARROW_CONTROL'] ?? '',
+  ];
+  const addresses = addressLists
     .flatMap(list => list.split(','))
     .filter(address => address !== '');
   addresses.forEach(checkAddress);
@@ -84,12 +89,12 @@
   try {
     return readFileSync(file, 'utf8').trim();
   } catch {
-    throw new Error(`--token-file ${file}: cannot be read`);
+    throw new Error(`--token-file ${file}: the file cannot be read`);
   }
 }
 
 function toMilliseconds(seconds: string | undefined): number {
-  const value = Number(seconds ?? timeoutDefault);
+  const value = Number(seconds ?? defaultTimeout);
   if (value > 0) return value * 1000;
   throw new Error(`--timeout ${seconds}: give a number of seconds`);
 }
--- a/src/operator/refusal.ts
+++ b/src/operator/refusal.ts
@@ -1,7 +1,7 @@
 import type {Code} from '../result/code.js';
 import type {Refusal} from './messages.js';
 
-/** Makes a refusal of a code. */
+/** Creates a refusal with the number, name and effect of a code. */
 export function createRefusal(
   code: Code,
   message: string,
--- a/src/operator/render.ts
+++ b/src/operator/render.ts
@@ -17,9 +17,9 @@
 } from './messages.js';
 import {renderTable} from './table.js';
 
-/** What a person sees; programs take `--json` instead. */
+/** Renders replies as text for people; programs use `--json` instead. */
 
-/** Items of one kind at one version. */
+/** Renders items of one kind at one version. */
 export function renderItems({version, items}: Items): string {
   const table = items.length === 0 ? 'none\n' : renderItemTable(items);
   return `${table}version ${version}\n`;
@@ -99,19 +99,19 @@
 function renderQuarantines(quarantines: readonly Quarantine[]): string {
   return renderTable(
     ['quarantine', 'state', 'since', 'of', 'request', 'trials', 'ended'],
-    quarantines.map(one => [
-      one.name,
-      one.state,
-      new Date(one.since).toISOString(),
-      one.service,
-      one.request,
-      `${one.trials}`,
-      one.ended.join(' '),
+    quarantines.map(quarantine => [
+      quarantine.name,
+      quarantine.state,
+      new Date(quarantine.since).toISOString(),
+      quarantine.service,
+      quarantine.request,
+      `${quarantine.trials}`,
+      quarantine.ended.join(' '),
     ]),
   );
 }
 
-/** The last changes. */
+/** Renders the most recent changes. */
 export function renderHistory({version, changes}: History): string {
   const table = renderTable(
     ['version', 'time', 'command', 'edits'],
@@ -125,7 +125,7 @@
   return `${table}version ${version}\n`;
 }
 
-/** What is in force where. */
+/** Renders the versions in force across the fleet. */
 export function renderInForce({confirmed, summary}: InForceStatus): string {
   const note = confirmed
     ? ''
@@ -133,7 +133,7 @@
   return `${renderFleet(summary)}${note}`;
 }
 
-/** How far one version has come. */
+/** Renders the progress of one version across the fleet. */
 export function renderFleet(fleet: FleetSummary): string {
   const domains = renderTable(
     ['failure domain', 'nodes', 'in force', 'behind', 'unknown'],
@@ -151,22 +151,22 @@
     `version ${version} is in force on ${inForce} of ${nodes} nodes; ` +
     `least version ${least}\n`;
   const names = laggards.length > 0 ? `behind: ${laggards.join(' ')}\n` : '';
-  const young = fleet.isSettled
+  const settleNote = fleet.isSettled
     ? ''
-    : 'this control process started just now and may not know all nodes yet\n';
-  return `${domains}${total}${names}${renderStaleHomes(fleet)}${young}`;
+    : 'this control process started recently and may not know all nodes yet\n';
+  return `${domains}${total}${names}${renderStaleHomes(fleet)}${settleNote}`;
 }
 
 function renderStaleHomes({homes}: FleetSummary): string {
   const stale = homes.filter(({isStale}) => isStale);
   if (stale.length === 0) return '';
-  return `no current word from: ${stale.map(({home}) => home).join(' ')}\n`;
+  return `no current report from: ${stale.map(({home}) => home).join(' ')}\n`;
 }
 
-/** The control group, one line for each process that answered. */
+/** Renders the control group, with one line for each process that answered. */
 export function renderControl(views: readonly Reply<ControlView>[]): string {
   const answered = views.flatMap(view => (view.ok ? [view.value] : []));
-  const silent = views.flatMap(view => (view.ok ? [] : [view.refusal]));
+  const refusals = views.flatMap(view => (view.ok ? [] : [view.refusal]));
   const processes = renderTable(
     [
       'control',
@@ -193,14 +193,14 @@
   );
   const members = renderTable(
     ['member', 'address', 'failure domain', 'state'],
-    newest(answered),
+    newestMemberRows(answered),
   );
-  const notes = silent.map(({message}) => `${message}\n`).join('');
+  const notes = refusals.map(({message}) => `${message}\n`).join('');
   return `${processes}\n${members}${notes}`;
 }
 
-/** The members as the process with the highest commit index knows them. */
-function newest(views: readonly ControlView[]): string[][] {
+/** Returns the members as seen by the process with the highest commit index. */
+function newestMemberRows(views: readonly ControlView[]): string[][] {
   const [first] = [...views].sort(
     (left, right) => right.commitIndex - left.commitIndex,
   );
@@ -225,8 +225,8 @@
 function showSize(bytes: number): string {
   const units = ['GiB', 'MiB', 'KiB'];
   const sizes = [1024 ** 3, 1024 ** 2, 1024];
-  const at = sizes.findIndex(size => bytes >= size && bytes % size === 0);
-  return at === -1 ? `${bytes}B` : `${bytes / sizes[at]!}${units[at]}`;
+  const index = sizes.findIndex(size => bytes >= size && bytes % size === 0);
+  return index === -1 ? `${bytes}B` : `${bytes / sizes[index]!}${units[index]}`;
 }
 
 function showShare(share: number): string {
--- a/src/operator/router.ts
+++ b/src/operator/router.ts
@@ -8,13 +8,16 @@
 import type {OperatorService} from './service.js';
 import {firstProblem} from '../result/first-problem.js';
 
-/** What one request to the operators' API brings. */
+/** Context of a request to the operators' API. */
 export interface RequestContext {
-  /** Whether the request showed the deployment's operator token. */
+  /** Whether the request has the deployment's operator token. */
   readonly authorized: boolean;
 }
 
-/** Longest single wait; clients ask again until their own time is over. */
+/**
+ * Maximum duration of one wait call, in milliseconds; clients repeat it until
+ * their own timeout.
+ */
 export const maxWait = 10_000;
 
 const memberShape = z
@@ -33,7 +36,7 @@
   }),
 });
 
-/** Every procedure of the operators' API. */
+/** Creates the router with all procedures of the operators' API. */
 export function createRouter(service: OperatorService, log: Log) {
   const procedure = trpc.procedure.use(async ({next}) => {
     const result = await next();
@@ -75,7 +78,7 @@
   });
 }
 
-/** The API's type, for the client. */
+/** Type of the API, for the client. */
 export type OperatorRouter = ReturnType<typeof createRouter>;
 
 function describeError(error: TRPCError): Refusal {
@@ -87,7 +90,7 @@
     case 'INTERNAL_SERVER_ERROR':
       return createRefusal(
         codes.internal,
-        'see the log of the control process',
+        'internal error; see the log of the control process',
       );
     default:
       return createRefusal(codes.invalidInput, describeInput(error));
--- a/src/operator/run-operator-command.test.ts
+++ b/src/operator/run-operator-command.test.ts
@@ -26,8 +26,8 @@
   options: {
     input?: string;
     args?: readonly string[];
-    /** Whether it gives up soon when no answer comes. */
-    isHasty?: boolean;
+    /** Whether to use a client with a short timeout. */
+    hasShortTimeout?: boolean;
   } = {},
 ): Promise<Run> {
   const output = {out: '', error: ''};
@@ -36,7 +36,9 @@
     input: Readable.from([options.input ?? '']),
     out: written => (output.out += written),
     error: written => (output.error += written),
-    client: options.isHasty ? createShortTimeoutClient(addresses) : undefined,
+    client: options.hasShortTimeout
+      ? createShortTimeoutClient(addresses)
+      : undefined,
     environment: {
       FOXBARROW_CONTROL: addresses.join(','),
       FOXBARROW_OPERATOR: 'amina',
@@ -45,12 +47,12 @@
   return {code, ...output};
 }
 
-test('an accepted change exits 0 and tells its version and id', async t => {
+test('an accepted change exits with 0 and prints its version and id', async t => {
   const deployment = await deploy(t);
   const {code, out, error} = await run(deployment, setup);
   t.is(code, 0, error);
   t.regex(out, /^version 1: accepted \(amina\/\d+\)\n$/);
-  t.regex(error, /^command amina\/\d+\n$/, 'told before it is sent');
+  t.regex(error, /^command amina\/\d+\n$/, 'printed before it is sent');
   const shown = await run(deployment, 'show routes');
   t.is(
     shown.out,
@@ -63,14 +65,14 @@
 test('each outcome has its own exit code', async t => {
   const deployment = await deploy(t);
   const codeOf = async (text: string) =>
-    (await run(deployment, text, {isHasty: true})).code;
+    (await run(deployment, text, {hasShortTimeout: true})).code;
   t.is(await codeOf(setup), 0);
   t.is(await codeOf('put rotue x'), 2);
   t.is(await codeOf('remove service crewbook'), 3);
   t.is(await codeOf('expect 7 put service a'), 4);
   deployment.group.decide(...Array.from({length: 200}, () => 'lose' as const));
   const unknown = await run(deployment, 'as amina/9 put service a', {
-    isHasty: true,
+    hasShortTimeout: true,
   });
   t.is(unknown.code, 5);
   t.regex(unknown.error, /resend it with "as amina\/9" in front/);
@@ -79,7 +81,7 @@
   t.is(await codeOf('put service a'), 6);
 });
 
-test('a resend by hand gets the first answer', async t => {
+test('a manual resend gets the first answer', async t => {
   const deployment = await deploy(t);
   const first = await run(deployment, `as amina/7 ${setup}`);
   await run(deployment, 'put service other');
@@ -87,12 +89,12 @@
   t.is(again.out, first.out);
 });
 
-// A script on a VM whose clock is ahead has sent more commands than the group
-// keeps answers of. The same operator then works at a VM with the right clock:
-// its sequences lie under the floor and its changes would all be refused as
-// expired resends. The client knows that its command was fresh and never sent
-// before, so it takes a sequence above the floor.
-test('a clock behind that of another VM does not bar an operator', async t => {
+// Guards against clocks that differ between VMs. A script on a VM whose clock is
+// ahead has sent more commands than the group keeps answers for. Sequences of
+// the same operator from a VM with the correct clock are then below the floor,
+// and would be refused as expired resends. The client knows that its command is
+// new, so it sends it again under a sequence above the floor.
+test('an operator can make changes from a VM whose clock is behind that of another', async t => {
   const deployment = await deploy(t);
   const ahead = (Date.now() + 600_000) * 1000;
   const script = Array.from(
@@ -104,11 +106,11 @@
   t.is(fresh.code, 0, fresh.error);
   t.regex(fresh.out, /^version 72: accepted/);
   const named = await run(deployment, 'as amina/5 put service drillvault');
-  t.is(named.code, 5, 'an id that a person gave may be a resend');
+  t.is(named.code, 5, 'an explicit id may be a resend');
   t.regex(named.error, /outcome unknown, 2006/);
 });
 
-test('a program reads one object for each command', async t => {
+test('with --json, one object is printed for each command', async t => {
   const deployment = await deploy(t);
   const json = async (text: string) => {
     const {out} = await run(deployment, text, {args: ['--json']});
@@ -139,7 +141,7 @@
   });
 });
 
-test('fleet, control group and history are tables', async t => {
+test('the fleet, the control group and the history are printed as tables', async t => {
   const deployment = await deploy(t);
   await run(deployment, setup);
   await run(deployment, 'drain crewbook-1 of crewbook');
@@ -164,7 +166,7 @@
   t.regex((await run(deployment, 'show control')).out, /control-4 +127/);
 });
 
-test('a session reads commands from standard input and gives the highest code', async t => {
+test('a shell reads commands from standard input and exits with the highest code', async t => {
   const deployment = await deploy(t);
   const input = [
     '# the first services',
@@ -183,10 +185,10 @@
   t.regex(error, /there is no service gone/);
 });
 
-// A session has a mistyped edit inside begin ... end. The edits after it must
-// not be taken for changes of their own, or half of the block would be in
-// force. The whole block is read before any of it is looked at.
-test('a block with a mistake changes nothing', async t => {
+// Guards against blocks that are applied in part. One edit inside begin ... end
+// is mistyped. The edits after it must not be run as separate changes, so the
+// whole block is read before it is parsed.
+test('a block with a syntax error changes nothing', async t => {
   const deployment = await deploy(t);
   const input = 'begin\n put srevice a\n put service b\nend\nshow services\n';
   const {code, out, error} = await run(deployment, 'shell', {input});
@@ -196,7 +198,7 @@
   t.is(deployment.group.entries().length, 0);
 });
 
-test('a file of edits is one change', async t => {
+test('a file of edits is applied as one change', async t => {
   const deployment = await deploy(t);
   const folder = await mkdtemp(join(tmpdir(), 'foxbarrow-'));
   const file = join(folder, 'edits.txt');
@@ -212,7 +214,7 @@
   t.is((await run(deployment, `apply ${file}.gone`)).code, 2);
 });
 
-test('a command line that lacks something exits 2 and says what', async t => {
+test('an incomplete or invalid command line exits with 2 and names the problem', async t => {
   const misuse = async (args: readonly string[]) => {
     let error = '';
     const code = await runOperatorCommand(args, {
--- a/src/operator/run-operator-command.ts
+++ b/src/operator/run-operator-command.ts
@@ -16,45 +16,47 @@
 import {runStatement} from './run-statement.js';
 import type {Outcome, Session} from './run-statement.js';
 
-/** Where an operator command reads and writes. */
+/** Input, output and environment of an operator command. */
 export interface Streams {
   readonly input: Readable;
   readonly out: (text: string) => void;
   readonly error: (text: string) => void;
   readonly environment: Environment;
-  /** The client to use in place of one over the network, in tests. */
+  /** Replaces the network client in tests. */
   readonly client?: OperatorClient;
   readonly timers?: Timers;
 }
 
-/** The word that takes commands from standard input. */
-const shellWord = 'shell';
+/** The command that reads commands from standard input. */
+const shellCommand = 'shell';
 
-/** Runs the operator commands of one invocation; resolves with its exit code. */
+/**
+ * Runs the operator commands of one invocation and resolves with the exit code.
+ */
 export async function runOperatorCommand(
   args: readonly string[],
   streams: Streams,
 ): Promise<number> {
   const resolved = resolveOptions(args, streams.environment);
-  if (!resolved.ok) return misuse(streams, resolved.message);
+  if (!resolved.ok) return reportMisuse(streams, resolved.message);
   const options = resolved.value;
   if (options.help || options.words[0] === 'help') {
     streams.out(optionsHelp + languageHelp);
     return operatorExitCodes.accepted;
   }
   const missing = findMissing(options, streams);
-  if (missing !== undefined) return misuse(streams, missing);
+  if (missing !== undefined) return reportMisuse(streams, missing);
   const session = createSession(options, streams);
   const run = (text: string) => runText(session, text, options, streams);
   const text = options.words.join(' ');
   try {
-    return await (text === shellWord ? runShell(streams, run) : run(text));
+    return await (text === shellCommand ? runShell(streams, run) : run(text));
   } finally {
     await session.client.close();
   }
 }
 
-function misuse(streams: Streams, problem: string): number {
+function reportMisuse(streams: Streams, problem: string): number {
   streams.error(`foxbarrow: ${problem}; see foxbarrow help\n`);
   return operatorExitCodes.usage;
 }
@@ -65,7 +67,7 @@
 ): string | undefined {
   if (options.words.length === 0) return 'a command is missing';
   if (streams.client === undefined && options.addresses.length === 0) {
-    return 'name a control process with --control or FOXBARROW_CONTROL';
+    return 'give a control process with --control or FOXBARROW_CONTROL';
   }
   return undefined;
 }
@@ -98,9 +100,9 @@
   const statement = parsed.value;
   const isChange = statement.kind === 'change' || statement.kind === 'apply';
   if (isChange && statement.id === undefined && options.operator === '') {
-    return misuse(
+    return reportMisuse(
       streams,
-      'name the operator with --operator or FOXBARROW_OPERATOR',
+      'give the operator with --operator or FOXBARROW_OPERATOR',
     );
   }
   const outcome = await runStatement(session, statement);
@@ -127,12 +129,14 @@
     streams.out(`${JSON.stringify({exitCode, result: json})}\n`);
     return;
   }
-  const isGood = outcome.exitCode === operatorExitCodes.accepted;
-  if (isGood) streams.out(outcome.text);
+  const isAccepted = outcome.exitCode === operatorExitCodes.accepted;
+  if (isAccepted) streams.out(outcome.text);
   else streams.error(outcome.text);
 }
 
-/** Runs each line, or each begin ... end; goes on after one that failed. */
+/**
+ * Runs each line, or each begin ... end block, and continues after a failure.
+ */
 async function runShell(
   streams: Streams,
   run: (text: string) => Promise<number>,
--- a/src/operator/run-statement.ts
+++ b/src/operator/run-statement.ts
@@ -20,25 +20,28 @@
   renderItems,
 } from './render.js';
 
-/** What a command came to. */
+/** The result of a command. */
 export interface Outcome {
   readonly exitCode: number;
-  /** For a person; ends with a line break. */
+  /** Text for people; ends with a line break. */
   readonly text: string;
-  /** For a program. */
+  /** Result for programs. */
   readonly json: unknown;
 }
 
-/** What running a command needs. */
+/** What the commands of one invocation share. */
 export interface Session {
   readonly client: OperatorClient;
-  /** Gives a fresh id, with a sequence above `above`. */
+  /** Returns a new id, with a sequence above `above`. */
   nextId(above?: number): CommandId;
-  /** Tells the id before the change is sent, should no answer ever come. */
+  /**
+   * Reports the id before a change is sent, so that it is known if no answer
+   * arrives.
+   */
   announce(id: CommandId): void;
 }
 
-/** Runs one command. */
+/** Runs one command of the operators' language. */
 export async function runStatement(
   session: Session,
   statement: Statement,
@@ -66,7 +69,7 @@
     case 'replace': {
       const {leaving, joining} = statement;
       const replaced = await client.replace(leaving, joining);
-      const text = `${joining.name} has taken the place of ${leaving}\n`;
+      const text = `${joining.name} has replaced ${leaving}\n`;
       return present(replaced, () => text);
     }
     case 'accept-loss': {
@@ -106,17 +109,17 @@
     expectedVersion === undefined ? {edits} : {expectedVersion, edits};
   if (id !== undefined) return sendChange(session, {...id, ...change});
   const command = {...session.nextId(), ...change};
-  return sendChange(session, command, renewals);
+  return sendChange(session, command, maxRenewals);
 }
 
-/** How often a fresh command may take a higher sequence. */
-const renewals = 5;
+/** How often a new command may be sent again under a higher sequence. */
+const maxRenewals = 5;
 
 /**
- * Sends a command. Two VMs of one operator have clocks that differ or meet in
- * one microsecond, so a fresh sequence may be taken or expired. When the first
- * sending is told so, the command has certainly not run, and it is sent under a
- * higher sequence, `renewals` times at most.
+ * Sends a command. One operator may use several VMs, whose clocks differ or
+ * give the same microsecond, so a new sequence may already be used or expired.
+ * If the first attempt is refused for this reason, the command has certainly not
+ * run, and it is sent again under a higher sequence, at most `renewals` times.
  */
 async function sendChange(
   session: Session,
@@ -126,10 +129,10 @@
   session.announce(command);
   const reply = await session.client.change(command);
   const id = `${command.operator}/${command.sequence}`;
-  if (!reply.ok) return unanswered(id, reply);
+  if (!reply.ok) return presentRefusedChange(id, reply);
   const {isResent, highest, ...answer} = reply.value;
-  const isBarred = highest !== undefined && !isResent;
-  if (!isBarred || renewals === 0) return presentAnswer(id, answer);
+  const isSequenceUsed = highest !== undefined && !isResent;
+  if (!isSequenceUsed || renewals === 0) return presentAnswer(id, answer);
   const renewed = {...command, ...session.nextId(highest)};
   return sendChange(session, renewed, renewals - 1);
 }
@@ -140,11 +143,14 @@
   const text =
     exitCode === operatorExitCodes.accepted
       ? `version ${version}: ${message} (${id})\n`
-      : `${stateNames[exitCode]}, ${code}: ${message} (${id})\n`;
+      : `${outcomeNames[exitCode]}, ${code}: ${message} (${id})\n`;
   return {exitCode, text, json: {id, code, message, version}};
 }
 
-function unanswered(id: string, reply: Reply<unknown> & {ok: false}): Outcome {
+function presentRefusedChange(
+  id: string,
+  reply: Reply<unknown> & {ok: false},
+): Outcome {
   const outcome = present(reply, () => '');
   const json = {id, ...(outcome.json as object)};
   if (outcome.exitCode !== operatorExitCodes.unknown) return {...outcome, json};
@@ -154,9 +160,9 @@
 
 async function runShowControl(client: OperatorClient): Promise<Outcome> {
   const views = await client.control();
-  const answers = views.some(view => view.ok);
+  const isAnswered = views.some(view => view.ok);
   return {
-    exitCode: answers
+    exitCode: isAnswered
       ? operatorExitCodes.accepted
       : operatorExitCodes.unreachable,
     text: renderControl(views),
@@ -170,11 +176,11 @@
   return {
     exitCode: inForce ? operatorExitCodes.accepted : operatorExitCodes.refused,
     text: renderFleet(summary),
-    json: inForce ? reply.value : {...describeLate(), ...reply.value},
+    json: inForce ? reply.value : {...describeNotYetInForce(), ...reply.value},
   };
 }
 
-function describeLate() {
+function describeNotYetInForce() {
   const {number, name} = configurationCodes.notYetInForce;
   return {code: number, name};
 }
@@ -187,11 +193,11 @@
   }
   const {refusal} = reply;
   const exitCode = refusalExitCode(refusal);
-  const text = `${stateNames[exitCode]}, ${refusal.code}: ${refusal.message}\n`;
+  const text = `${outcomeNames[exitCode]}, ${refusal.code}: ${refusal.message}\n`;
   return {exitCode, text, json: refusal};
 }
 
-const stateNames: Readonly<Record<number, string>> = {
+const outcomeNames: Readonly<Record<number, string>> = {
   [operatorExitCodes.refused]: 'refused',
   [operatorExitCodes.conflict]: 'conflict',
   [operatorExitCodes.unknown]: 'outcome unknown',
--- a/src/operator/sequence.ts
+++ b/src/operator/sequence.ts
@@ -1,12 +1,12 @@
 import type {Timers} from '../time/timers.js';
 
 /**
- * Gives rising sequences that need no memory between invocations:
- * microseconds since the epoch. Two invocations of one operator that meet in
- * one microsecond are told apart by the answer table, which refuses the second
- * command unless it is the same.
+ * Creates a generator of increasing sequences. They are microseconds since the
+ * epoch, so no state has to be stored between invocations. If two invocations of
+ * one operator use the same microsecond, the answer table refuses the second
+ * command unless both are the same.
  *
- * The function gives a sequence higher than those before and than `above`.
+ * The returned function gives a sequence above all earlier ones and `above`.
  */
 export function createSequenceGenerator(
   timers: Timers,
--- a/src/operator/service.test.ts
+++ b/src/operator/service.test.ts
@@ -23,7 +23,7 @@
   };
 }
 
-function createTrial(nodes = 2, isSettled = true) {
+function createTestService(nodes = 2, isSettled = true) {
   const timers = createFakeTimers();
   const group = createFakeGroup(['control-1'], createSampleMachine);
   let inForce = 0;
@@ -42,44 +42,45 @@
     limits: defaults.limits,
     leaderAddress: () => undefined,
   });
-  const spread = (count: number) => (inForce = count);
-  return {timers, group, service, spread};
+  const setInForce = (count: number) => (inForce = count);
+  return {timers, group, service, setInForce};
 }
 
 const command = {operator: 'amina', sequence: 1, edits: [putService('a')]};
 
-test('a wait ends when the last node has the version', async t => {
-  const {timers, service, spread} = createTrial();
+test('a wait ends when the version is in force on the last node', async t => {
+  const {timers, service, setInForce} = createTestService();
   let waited: boolean | undefined;
   void service.wait(3, 5000).then(({inForce}) => (waited = inForce));
-  spread(1);
+  setInForce(1);
   await timers.advanceAsync(1000);
   t.is(waited, undefined);
-  spread(2);
+  setInForce(2);
   await timers.advanceAsync(100);
   t.true(waited);
 });
 
-test('a wait ends in time when a node lags', async t => {
-  const {timers, service, spread} = createTrial();
-  spread(1);
+test('a wait ends at its timeout if a node is behind', async t => {
+  const {timers, service, setInForce} = createTestService();
+  setInForce(1);
   const waiting = service.wait(3, 500);
   await timers.advanceAsync(600);
   t.like(await waiting, {inForce: false, summary: {behind: 1}});
 });
 
-test('a version is in force nowhere when no node is known', async t => {
-  const {timers, service} = createTrial(0);
+test('a version is not in force if no node is known', async t => {
+  const {timers, service} = createTestService(0);
   const waiting = service.wait(3, 100);
   await timers.advanceAsync(200);
   t.false((await waiting).inForce);
 });
 
-// The group has lost its majority and an operator asks what is in force where.
-// The fleet is still known and is shown, but this process can't tell whether a
-// newer version was accepted elsewhere, so the answer must not claim it.
-test('without a majority the fleet is shown as unconfirmed, items are refused', async t => {
-  const {group, service} = createTrial();
+// The group has lost its majority and an operator queries the versions in
+// force. The state of the fleet is still known and is shown, but this process
+// can't tell whether a newer version was accepted by other processes, so the
+// answer must be marked as unconfirmed.
+test('without a majority the state of the fleet is unconfirmed, and items are refused', async t => {
+  const {group, service} = createTestService();
   await service.change(command);
   t.like(await service.inForce(), {confirmed: true, summary: {version: 1}});
   group.lead(undefined);
@@ -88,7 +89,7 @@
   t.false((await service.history(1)).ok);
 });
 
-test('a majority that stays silent does not hold the answer back', async t => {
+test('the state of the fleet is returned in time if the majority does not answer', async t => {
   const timers = createFakeTimers();
   const group = createFakeGroup(['control-1'], createSampleMachine);
   const service = createOperatorService({
@@ -111,9 +112,9 @@
   t.false(confirmed);
 });
 
-test('a young process that has not heard all homes does not end a wait', async t => {
-  const {timers, service, spread} = createTrial(2, false);
-  spread(2);
+test('a newly started process without reports from all homes does not end a wait', async t => {
+  const {timers, service, setInForce} = createTestService(2, false);
+  setInForce(2);
   const waited = service.wait(1, 1000);
   await timers.advanceAsync(1100);
   t.false((await waited).inForce);
--- a/src/operator/table.ts
+++ b/src/operator/table.ts
@@ -1,4 +1,4 @@
-/** Renders rows under headings, each column as wide as its widest cell. */
+/** Renders a text table; each column is as wide as its widest cell. */
 export function renderTable(
   headings: readonly string[],
   rows: readonly (readonly string[])[],
--- a/src/operator/testing/control-processes.ts
+++ b/src/operator/testing/control-processes.ts
@@ -9,28 +9,30 @@
 import {reservePorts} from '../../../bench/deployment/ports.js';
 import type {Ports} from '../../../bench/deployment/ports.js';
 
-/** Control processes on loopback, for tests of what a kill leaves behind. */
+/**
+ * Control processes on the loopback interface, for tests that kill processes.
+ */
 export interface ControlProcesses {
-  /** The first members. */
+  /** Names of the initial members. */
   readonly names: readonly string[];
-  /** Operators' addresses in the order of the names. */
+  /** Operators' addresses, in the order of the names. */
   readonly addresses: readonly string[];
   start(name: string): void;
-  /** Ends a process at once, with SIGKILL; its data folder stays. */
+  /** Kills a process with SIGKILL; its data folder is kept. */
   kill(name: string): Promise<void>;
   /** Kills a process and removes its data folder. */
   destroy(name: string): Promise<void>;
-  /** Starts a process that is to take the place of `leaving`. */
+  /** Starts a process that is to replace `leaving`. */
   join(name: string, leaving: string): Promise<ControlMember>;
-  /** Freezes a process with SIGSTOP. */
+  /** Suspends a process with SIGSTOP. */
   suspend(name: string): void;
-  /** Lets a frozen process go on. */
+  /** Resumes a suspended process. */
   resume(name: string): void;
-  /** Ends all processes and removes their folders. */
+  /** Kills all processes and removes their folders. */
   end(): Promise<void>;
 }
 
-/** One control process as settings name it. */
+/** A control process as listed in the settings. */
 export interface ControlMember {
   readonly name: string;
   readonly peerAddress: string;
@@ -45,7 +47,7 @@
 
 const children = new Set<ChildProcess>();
 
-/** A test run that is cut short must leave no process behind. */
+/** An interrupted test run must not leave processes behind. */
 process.on('exit', () => {
   for (const child of children) child.kill('SIGKILL');
 });
@@ -60,7 +62,7 @@
     members.push(createMember(`control-${index + 1}`, failureDomain, ports));
   }
 
-  function fileOf(name: string): string {
+  function settingsFile(name: string): string {
     return join(folder, `${name}.json`);
   }
 
@@ -76,11 +78,11 @@
       dataFolder: join(folder, member.name),
       members: group,
     };
-    await writeFile(fileOf(member.name), JSON.stringify(settings));
+    await writeFile(settingsFile(member.name), JSON.stringify(settings));
   }
 
   function start(name: string): void {
-    const args = [program, 'control', fileOf(name)];
+    const args = [program, 'control', settingsFile(name)];
     const child = spawn(process.execPath, args, {stdio: 'ignore'});
     children.add(child);
     child.once('exit', () => children.delete(child));
@@ -95,7 +97,7 @@
     await once(child, 'exit');
   }
 
-  async function lose(name: string): Promise<void> {
+  async function destroy(name: string): Promise<void> {
     await kill(name);
     await rm(join(folder, name), {recursive: true, force: true});
   }
@@ -104,9 +106,9 @@
     name: string,
     leaving: string,
   ): Promise<ControlMember> {
-    const left = members.find(member => member.name === leaving)!;
-    const member = createMember(name, left.failureDomain, ports);
-    const others = members.filter(each => each !== left);
+    const replaced = members.find(member => member.name === leaving)!;
+    const member = createMember(name, replaced.failureDomain, ports);
+    const others = members.filter(each => each !== replaced);
     await writeSettings(member, [...others, member]);
     start(name);
     return member;
@@ -121,7 +123,7 @@
     addresses: members.map(({operatorAddress}) => operatorAddress),
     start,
     kill,
-    destroy: lose,
+    destroy,
     join: joinGroup,
     suspend: name => void running.get(name)?.kill('SIGSTOP'),
     resume: name => void running.get(name)?.kill('SIGCONT'),
--- a/src/settings/limits.ts
+++ b/src/settings/limits.ts
@@ -6,7 +6,10 @@
 
 const count = z.number().int().positive();
 
-/** Limits on configuration and commands; see docs/operators/language.md. */
+/**
+ * Schema of the limits on the configuration and on commands; see
+ * docs/operators/language.md.
+ */
 export const limitsSchema: z.ZodType<Limits, z.ZodTypeDef, unknown> = z
   .object({
     services: count.default(limits.services),
--- a/src/settings/resolve.test.ts
+++ b/src/settings/resolve.test.ts
@@ -39,14 +39,14 @@
   return result.message;
 }
 
-test('whole settings are completed with the defaults', t => {
+test('missing settings get their default values', t => {
   const result = parseSettings('a.json', JSON.stringify(node));
   t.true(result.ok);
   if (result.ok) t.is(result.value.stopDeadline, 30_000);
   t.is(problem(control), 'good');
 });
 
-test('an unknown key is named with its place', t => {
+test('an unknown key is reported with its path', t => {
   t.regex(problem({...node, colour: 1}), /^a\.json: colour: unknown key/);
   const members = [{...control.members[0], colour: 1}];
   t.regex(
@@ -55,7 +55,7 @@
   );
 });
 
-test('a wrong type is named with what is allowed', t => {
+test('a value of the wrong type is reported with what is allowed', t => {
   t.regex(problem({...node, renewal: 'soon'}), /^a\.json: renewal: .*number/);
   t.regex(problem({...node, name: 'Node One'}), /^a\.json: name: .*a-z/);
   t.regex(
@@ -65,7 +65,7 @@
   t.regex(problem([]), /^a\.json: the file: /);
 });
 
-test('a missing or broken address is named with its form', t => {
+test('a missing or malformed address is reported with the expected format', t => {
   const missing = {...node, callerAddress: undefined};
   t.regex(problem(missing), /^a\.json: callerAddress: .*IP number and a port/);
   for (const callerAddress of [
@@ -82,7 +82,7 @@
   }
 });
 
-test('an unknown role is named with the roles there are', t => {
+test('an unknown role is reported with the list of roles', t => {
   t.regex(
     problem({...node, role: 'proxy'}),
     /^a\.json: role: .*'control'.*'relay'.*'node'/,
@@ -90,7 +90,7 @@
   t.regex(problem({name: 'x'}), /^a\.json: role: /);
 });
 
-test('two listeners on one port are one line that names both keys', t => {
+test('two listeners on one port are reported in one line that names both keys', t => {
   const line = problem({...node, gateAddress: node.callerAddress});
   t.regex(
     line,
@@ -99,8 +99,9 @@
   t.notRegex(line, /\n/);
 });
 
-test('a listener on all addresses clashes with one on the same port', t => {
-  // Start would fail with EADDRINUSE, or not, by the order of the listeners.
+test('a listener on all addresses conflicts with another on the same port', t => {
+  // Otherwise startup could fail with EADDRINUSE, depending on the order in
+  // which the listeners are opened.
   const line = problem({...node, gateAddress: '0.0.0.0:7002'});
   t.regex(line, /^a\.json: gateAddress: 0\.0\.0\.0:7002 is also callerAddress/);
 });
@@ -118,15 +119,15 @@
   );
 });
 
-test('a control process must stand among the members with its own addresses', t => {
-  // Else the others would call it at an address where nothing listens.
+test('a control process must be listed as a member with its own addresses', t => {
+  // Otherwise the other members would connect to an address where nothing listens.
   const away = {...control.members[0]!, name: 'control-2'};
   t.regex(
     problem({...control, members: [away]}),
     /^a\.json: members: .*control-1/,
   );
   const everywhere = {...control, peerAddress: '0.0.0.0:7002'};
-  t.is(problem(everywhere), 'good', 'listening on all addresses serves it');
+  t.is(problem(everywhere), 'good', 'listening on all addresses is allowed');
   const moved = {...control.members[0]!, peerAddress: '127.0.0.1:9'};
   t.regex(
     problem({...control, members: [moved]}),
@@ -142,7 +143,7 @@
   );
 });
 
-test('text that is no JSON and a file that is not there are one line', async t => {
+test('invalid JSON and a missing file are reported in one line', async t => {
   const broken = parseSettings('a.json', '{"role": ');
   t.false(broken.ok);
   if (!broken.ok) t.regex(broken.message, /^a\.json: is not JSON: [^\n]*$/);
@@ -152,13 +153,13 @@
     t.regex(none.message, /^no-such-folder\/a\.json: cannot be read/);
 });
 
-test('an election timeout within three heartbeats is refused', t => {
-  // One late heartbeat would end a leadership that works.
+test('an election timeout shorter than three heartbeats is refused', t => {
+  // Otherwise one late heartbeat could depose a healthy leader.
   const line = problem({...control, heartbeat: 100, electionTimeout: 250});
   t.regex(line, /^a\.json: electionTimeout: 250 .* at least 300/);
 });
 
-test('periods of none at all, which would be busy loops, are refused', t => {
+test('periods of 0, which would cause busy loops, are refused', t => {
   t.regex(problem({...control, heartbeat: 0}), /^a\.json: heartbeat: /);
   t.regex(problem({...node, renewal: 0}), /^a\.json: renewal: /);
 });
--- a/src/settings/stop-deadline.ts
+++ b/src/settings/stop-deadline.ts
@@ -1,17 +1,19 @@
-/** How long a planned stop may take. */
+/** The time limit of a graceful shutdown. */
 import type {Settings} from './schema.js';
 
 /**
- * Milliseconds before its end by force at which a stop has cut what still runs:
- * answers go out, parts close and the last lines are written, on a small share
- * of a core.
+ * Milliseconds reserved between the end of a graceful shutdown and the forced
+ * end of the process. In this time the answers to cancelled requests are
+ * sent, all parts are closed and the last log lines are written, even if the
+ * process gets only a small share of a core.
  */
 const closingTime = 1_000;
 
 /**
- * Milliseconds that a planned stop may take. A fixed time cuts requests that
- * could still have ended where more is granted, and is cut short itself, without
- * an answer to anybody, where less is.
+ * Returns how many milliseconds a graceful shutdown may take. It depends on
+ * `killAfter`, because with a fixed time the process would be killed before it
+ * has answered its open requests on a platform that allows less time, and would
+ * cancel requests that could still complete on one that allows more.
  */
 export function effectiveStopDeadline({
   stopDeadline,
