--- a/src/admin/admin-server.test.ts
+++ b/src/admin/admin-server.test.ts
@@ -7,14 +7,14 @@
 
 const token = 'a-secret-of-the-operators';
 
-async function start(given: string | undefined = token) {
+async function start(serverToken: string | undefined = token) {
   const registry = new Registry();
   new Counter({name: 'turns', help: 'x', registers: [registry]}).inc(3);
   const reasons: string[] = [];
   const calls: Array<string | undefined> = [];
   const server = await createAdminServer({
     address: '127.0.0.1:0',
-    token: given,
+    token: serverToken,
     registry,
     health: {notReadyReasons: () => reasons},
     wall: () => 1234,
@@ -41,7 +41,7 @@
   return {server, call, reasons, calls};
 }
 
-test('metrics, health and readiness are read without a token', async t => {
+test('metrics, health and readiness can be read without a token', async t => {
   const {server, call, reasons} = await start();
   t.regex((await call('GET', '/metrics')).body, /^turns 3$/m);
   t.is((await call('GET', '/health')).status, 200);
@@ -53,7 +53,7 @@
   await server.close();
 });
 
-test('one metric is read as JSON with the time its counts began', async t => {
+test('a single metric is returned as JSON with the start time', async t => {
   const {server, call} = await start();
   const answer = JSON.parse((await call('GET', '/metrics/turns')).body);
   t.deepEqual(answer, {started: 1234, values: [{value: 3, labels: {}}]});
@@ -62,7 +62,7 @@
   await server.close();
 });
 
-test('an action runs with the token and says how it ended', async t => {
+test('an action runs with the token and returns its result', async t => {
   const {server, call, calls} = await start();
   const answer = await call(
     'POST',
@@ -75,9 +75,10 @@
   await server.close();
 });
 
-test('a wrong token gets the same empty answer, whatever it asks for', async t => {
-  // A guesser sees 401 with no body for actions that exist, for those that
-  // don't, and for broken headers; nothing has run.
+test('a wrong token gets the same empty answer for every request', async t => {
+  // Guards against a server that reveals its actions. The answer must be 401
+  // without a body for existing and unknown actions and for malformed headers,
+  // and no action may run.
   const {server, call, calls} = await start();
   const first = await call('POST', '/actions/drain', 'Bearer wrong');
   t.is(first.status, 401);
@@ -92,7 +93,7 @@
   await server.close();
 });
 
-test('without a token in the settings no action can run', async t => {
+test('no action can run if the settings have no token', async t => {
   const {server, call, calls} = await start('');
   for (const guard of [createGuard(undefined), createGuard('')]) {
     for (const header of [undefined, '', 'Bearer', 'Bearer ']) {
@@ -104,7 +105,7 @@
   await server.close();
 });
 
-test('an unknown action and one that throws are numbered answers', async t => {
+test('an unknown action and one that throws are answered with a result code', async t => {
   const {server, call} = await start();
   const none = await call('POST', '/actions/none', `Bearer ${token}`);
   t.is(none.status, 404);
@@ -115,7 +116,7 @@
   await server.close();
 });
 
-test('a port that is taken rejects the start', async t => {
+test('startup fails if the port is in use', async t => {
   const {server} = await start();
   const error = await t.throwsAsync(
     createAdminServer({
--- a/src/admin/admin-server.ts
+++ b/src/admin/admin-server.ts
@@ -10,32 +10,43 @@
 import {adminCodes} from './codes.js';
 import {createGuard} from './token.js';
 
-/** What a process says of itself. */
+/** Readiness of a process. */
 export interface Health {
-  /** Why it can't take work now; empty when it is ready. */
+  /**
+   * Returns the reasons why the process can't take work; empty if it is ready.
+   */
   notReadyReasons(): readonly string[];
 }
 
-/** A change of state that the listener offers; `argument` follows its name. */
+/**
+ * A state-changing action of the listener; `argument` is the path segment after
+ * its name.
+ */
 export type Action = (argument: string | undefined) => Promise<Result<unknown>>;
 
-/** What `createAdminServer` needs. */
+/** Options of createAdminServer. */
 export interface AdminServerOptions {
-  /** Bound apart from callers. */
+  /** Address to listen on, separate from that of callers. */
   readonly address: Address;
-  /** Secret for changes of state; absent to refuse them all. */
+  /** Secret token required for actions; absent to refuse all actions. */
   readonly token?: string | undefined;
   readonly registry: Registry;
   readonly health: Health;
-  /** Milliseconds since the epoch. */
+  /** Returns the wall-clock time, in milliseconds since the epoch. */
   readonly wall: () => number;
-  /** By name: `POST /actions/NAME` or `POST /actions/NAME/ARGUMENT`. */
+  /** Actions by name: `POST /actions/NAME` or `POST /actions/NAME/ARGUMENT`. */
   readonly actions?: Readonly<Record<string, Action>> | undefined;
 }
 
-/** One metric as `GET /metrics/NAME` gives it; no values before its first report. */
+/**
+ * The answer to `GET /metrics/NAME`; without values until the metric is first
+ * reported.
+ */
 export interface MetricReply {
-  /** Milliseconds since the epoch at start: tells a reader that counts began anew. */
+  /**
+   * Start time, in milliseconds since the epoch; it shows readers that the
+   * counters were reset.
+   */
   readonly started: number;
   readonly values: ReadonlyArray<{
     readonly labels: Readonly<Partial<Record<string, string | number>>>;
@@ -45,42 +56,43 @@
 
 /** The running admin listener. */
 export interface AdminServer {
-  /** The address it listens on, with the port that was given to it. */
+  /** The address that the server listens on, with the assigned port. */
   readonly address: Address;
   close(): Promise<void>;
 }
 
 /**
  * Creates the admin listener: `GET /metrics` for Prometheus, `GET
- * /metrics/NAME` for one metric as JSON, `GET /health` (200 while the loop
- * runs), `GET /ready` (200 or 503 with the reasons) and the actions.
+ * /metrics/NAME` for one metric as JSON, `GET /health` (200 while the
+ * event loop runs), `GET /ready` (200 or 503 with the reasons) and the actions.
  */
 export async function createAdminServer(
   options: AdminServerOptions,
 ): Promise<AdminServer> {
   const server = createServer({requestTimeout: 5_000, maxHeaderSize: 8_192});
   const app = polka({
-    onNoMatch: (_request, response) => end(response, 404),
+    onNoMatch: (_request, response) => sendEmpty(response, 404),
   });
   const guard = createGuard(options.token);
 
-  // Before the routes, so that a wrong token doesn't learn which actions exist.
+  // Checked before the routes, so that requests with a wrong token do not
+  // reveal which actions exist.
   app.use((request, response, next) => {
-    if (isRead(request) || guard(request.headers.authorization)) next();
-    else end(response as unknown as ServerResponse, 401);
+    if (isReadOnly(request) || guard(request.headers.authorization)) next();
+    else sendEmpty(response as unknown as ServerResponse, 401);
   });
-  addReads(app, options);
-  addActions(app, options.actions ?? {});
+  addReadRoutes(app, options);
+  addActionRoutes(app, options.actions ?? {});
 
   server.on('request', app.handler as RequestListener);
   return openServer(server, options.address);
 }
 
-function isRead(request: {method?: string | undefined}): boolean {
+function isReadOnly(request: {method?: string | undefined}): boolean {
   return request.method === 'GET' || request.method === 'HEAD';
 }
 
-function addReads(app: polka.Polka, options: AdminServerOptions): void {
+function addReadRoutes(app: polka.Polka, options: AdminServerOptions): void {
   const started = options.wall();
   const {registry, health} = options;
   app.get('/metrics', async (_request, response) => {
@@ -108,7 +120,7 @@
   });
 }
 
-function addActions(
+function addActionRoutes(
   app: polka.Polka,
   actions: Readonly<Record<string, Action>>,
 ): void {
@@ -118,12 +130,12 @@
       argument?: string;
     };
     const action = Object.hasOwn(actions, name) ? actions[name] : undefined;
-    const result = await run(name, action, argument);
-    answer(response as unknown as ServerResponse, result);
+    const result = await runAction(name, action, argument);
+    sendResult(response as unknown as ServerResponse, result);
   });
 }
 
-async function run(
+async function runAction(
   name: string,
   action: Action | undefined,
   argument: string | undefined,
@@ -138,7 +150,7 @@
   }
 }
 
-function answer(response: ServerResponse, result: Result<unknown>): void {
+function sendResult(response: ServerResponse, result: Result<unknown>): void {
   const code = result.ok ? commonCodes.ok : result.code;
   const message = result.ok ? 'done' : result.message;
   answerJson(response, code.status, {
@@ -149,8 +161,11 @@
   });
 }
 
-/** An answer without a body, the same for all who may not know more. */
-function end(
+/**
+ * Sends an answer without a body, so that unauthorized requests learn nothing
+ * more.
+ */
+function sendEmpty(
   response: Pick<ServerResponse, 'writeHead' | 'end'>,
   status: number,
 ): void {
--- a/src/admin/convergence.ts
+++ b/src/admin/convergence.ts
@@ -1,58 +1,61 @@
 import type {Timers} from '../time/timers.js';
 import type {Metrics} from '../metrics/metrics.js';
 
-/** What is known of the fleet at the moment. */
+/** Number of nodes, and how many have a version. */
 export interface FleetState {
   readonly nodes: number;
-  /** Nodes that themselves said that they have the version. */
+  /** Nodes that reported that the version is in force on them. */
   readonly inForce: number;
 }
 
-/** What `createConvergence` needs. */
+/** Options of createConvergenceTracker. */
 export interface ConvergenceOptions {
   readonly timers: Timers;
   readonly metrics: Metrics;
   readonly fleet: (version: number) => FleetState;
 }
 
-/** Measures how long accepted changes take to be in force everywhere. */
+/** Measures the time until accepted changes are in force on all nodes. */
 export interface ConvergenceTracker {
-  /** A change was accepted, at this moment. */
+  /** Starts the measurement for a change that was accepted now. */
   accepted(version: number): void;
   stop(): void;
 }
 
-/** Milliseconds between two looks at the fleet; the measure's grain. */
-const lookEvery = 50;
+/**
+ * Interval between two checks of the fleet in milliseconds; the resolution of
+ * the measurement.
+ */
+const checkInterval = 50;
 
 /**
- * Milliseconds after which a change is given up, since a node is gone for
- * long. It counts with this age, beyond every bucket, so that a fleet that
- * never converges can't look good.
+ * Milliseconds after which the measurement of a change ends, because a node is
+ * gone for a long time. The change is recorded with this duration, which is
+ * above every bucket, so that a fleet that never converges shows in the metric.
  */
-const patience = 60_000;
+const maxAge = 60_000;
 
-/** Creates the measure; it looks at the fleet only while a change is on its way. */
+/** Creates a tracker; it checks the fleet only while a change is pending. */
 export function createConvergenceTracker(
   options: ConvergenceOptions,
 ): ConvergenceTracker {
   const {timers, metrics, fleet} = options;
-  const waiting = new Map<number, number>();
-  const timer = timers.every(lookEvery, look);
+  const pending = new Map<number, number>();
+  const timer = timers.every(checkInterval, check);
 
-  function look(): void {
-    for (const [version, since] of waiting) {
+  function check(): void {
+    for (const [version, since] of pending) {
       const age = timers.now() - since;
       const {nodes, inForce} = fleet(version);
-      const isEverywhere = nodes > 0 && inForce === nodes;
-      if (!isEverywhere && age < patience) continue;
+      const isConverged = nodes > 0 && inForce === nodes;
+      if (!isConverged && age < maxAge) continue;
       metrics.converged(age);
-      waiting.delete(version);
+      pending.delete(version);
     }
   }
 
   return {
-    accepted: version => void waiting.set(version, timers.now()),
+    accepted: version => void pending.set(version, timers.now()),
     stop: () => timer.cancel(),
   };
 }
--- a/src/admin/metrics.test.ts
+++ b/src/admin/metrics.test.ts
@@ -3,7 +3,7 @@
 import {commonCodes} from '../result/codes.js';
 import {createMetrics, classifyAnswer} from './metrics.js';
 
-function answer(route: string, status = 200, duration = 5) {
+function createAnswer(route: string, status = 200, duration = 5) {
   return {
     route,
     service: `service-of-${route}`,
@@ -19,9 +19,9 @@
 test('answers are counted by route, code and verdict', async t => {
   const registry = new Registry();
   const metrics = createMetrics({registry});
-  metrics.answered(answer('stock'));
-  metrics.answered(answer('stock', 200, 51));
-  metrics.answered(answer('stock', 503));
+  metrics.answered(createAnswer('stock'));
+  metrics.answered(createAnswer('stock', 200, 51));
+  metrics.answered(createAnswer('stock', 503));
   const text = await registry.metrics();
   for (const verdict of ['good', 'slow', 'failed']) {
     t.true(
@@ -34,25 +34,29 @@
   t.regex(text, /foxbarrow_request_seconds_count\{route="stock"\} 3/);
 });
 
-test("a caller's own error spends no budget; refusals and late answers do", t => {
-  t.is(classifyAnswer(answer('a', 404)), 'good');
-  t.is(classifyAnswer({...answer('a', 499), whole: false}), 'good');
-  t.is(classifyAnswer({...answer('a', 499, 51), whole: false}), 'slow');
-  t.is(classifyAnswer({...answer('a'), whole: false}), 'failed', 'cut short');
-  t.is(classifyAnswer(answer('a', 429)), 'failed');
-  t.is(classifyAnswer(answer('a', 502)), 'failed');
-  t.is(classifyAnswer(answer('a', 200, 51)), 'slow');
-  t.is(classifyAnswer(answer('a', 200, 50)), 'good');
+test('errors of the caller consume no error budget; refusals and slow answers do', t => {
+  t.is(classifyAnswer(createAnswer('a', 404)), 'good');
+  t.is(classifyAnswer({...createAnswer('a', 499), whole: false}), 'good');
+  t.is(classifyAnswer({...createAnswer('a', 499, 51), whole: false}), 'slow');
+  t.is(
+    classifyAnswer({...createAnswer('a'), whole: false}),
+    'failed',
+    'cut short',
+  );
+  t.is(classifyAnswer(createAnswer('a', 429)), 'failed');
+  t.is(classifyAnswer(createAnswer('a', 502)), 'failed');
+  t.is(classifyAnswer(createAnswer('a', 200, 51)), 'slow');
+  t.is(classifyAnswer(createAnswer('a', 200, 50)), 'good');
 });
 
-test('at 710 services the series stay bounded and no answer goes uncounted', async t => {
-  // Without the limit the scrape grows with the fleet's routes until the
-  // process runs out of its memory.
+test('with 710 services the number of series is bounded and every answer is counted', async t => {
+  // Without the limit, the number of series grows with the routes of the fleet
+  // until the process runs out of memory.
   const routeLimit = 64;
   const registry = new Registry();
   const metrics = createMetrics({registry, routeLimit});
   for (let number = 0; number < 710; number++) {
-    metrics.answered(answer(`route-${number}`));
+    metrics.answered(createAnswer(`route-${number}`));
     metrics.retried(`service-${number}`, 1);
   }
   const lines = (await registry.metrics()).split('\n');
@@ -63,19 +67,19 @@
     .reduce((sum, count) => sum + count, 0);
   t.is(total, 710);
   t.true(counted.some(line => line.includes('route="other",service="other"')));
-  const seriesAtMost = (routeLimit + 1) * 17 + 100;
-  t.true(lines.filter(line => !line.startsWith('#')).length < seriesAtMost);
+  const maxSeries = (routeLimit + 1) * 17 + 100;
+  t.true(lines.filter(line => !line.startsWith('#')).length < maxSeries);
 
   const unbounded = new Registry();
-  const free = createMetrics({registry: unbounded, routeLimit: Infinity});
+  const unlimited = createMetrics({registry: unbounded, routeLimit: Infinity});
   for (let number = 0; number < 710; number++) {
-    free.answered(answer(`route-${number}`));
+    unlimited.answered(createAnswer(`route-${number}`));
   }
   const many = (await unbounded.metrics()).split('\n').length;
-  t.true(many > seriesAtMost, 'the limit is what keeps them few');
+  t.true(many > maxSeries, 'without the limit there are more series');
 });
 
-test('states of the gate, the group and the versions are published', async t => {
+test('the state of the gate, the control group and the versions is published', async t => {
   const registry = new Registry();
   const metrics = createMetrics({registry});
   metrics.load({queued: 2, running: 10, slots: 10, unsent: 4096});
--- a/src/admin/process-metrics.test.ts
+++ b/src/admin/process-metrics.test.ts
@@ -2,7 +2,7 @@
 import {Registry} from 'prom-client';
 import {publishProcessMetrics} from './process-metrics.js';
 
-test('processor time rises, and memory and start are told', async t => {
+test('processor time increases, and memory and start time are published', async t => {
   const registry = new Registry();
   publishProcessMetrics(registry, 5000);
   const read = async (name: string) => {
--- a/src/admin/process-metrics.ts
+++ b/src/admin/process-metrics.ts
@@ -4,16 +4,17 @@
 const microsecondsPerSecond = 1_000_000;
 
 /**
- * Publishes the process's own processor time, memory and start, read only when
- * they are asked for. The client library's default set also samples the loop
- * each 10 ms, which a process that is mostly idle pays for all the time.
+ * Publishes the processor time, memory and start time of the process, which are
+ * read only when metrics are collected. The default metrics of prom-client are
+ * not used because they also sample the event loop every 10 ms, which costs
+ * processor time even in an idle process.
  */
 export function publishProcessMetrics(
   registry: Registry,
   started: number,
 ): void {
   const registers = [registry];
-  let counted = 0;
+  let reported = 0;
   new Counter({
     name: 'process_cpu_seconds_total',
     help: 'Processor time used, in seconds.',
@@ -21,8 +22,8 @@
     collect() {
       const {user, system} = process.cpuUsage();
       const used = (user + system) / microsecondsPerSecond;
-      this.inc(used - counted);
-      counted = used;
+      this.inc(used - reported);
+      reported = used;
     },
   });
   new Gauge({
--- a/src/admin/report-control.ts
+++ b/src/admin/report-control.ts
@@ -4,20 +4,20 @@
 import type {Metrics} from '../metrics/metrics.js';
 import type {Subscription, Timers} from '../time/timers.js';
 
-/** What `watchControl` reads. */
+/** Options of reportControl. */
 export interface ControlReportOptions {
   readonly consensus: Pick<Consensus, 'status'>;
   readonly dataFolder: string;
-  /** How many nodes are known. */
+  /** Returns the number of known nodes. */
   readonly nodes: () => number;
   readonly metrics: Metrics;
   readonly timers: Timers;
 }
 
-/** Milliseconds between two looks. */
-const lookEvery = 5_000;
+/** Interval between two reports, in milliseconds. */
+const reportInterval = 5_000;
 
-/** Reports the state of a control process from time to time. */
+/** Reports the state of a control process periodically. */
 export function reportControl(options: ControlReportOptions): Subscription {
   const {consensus, dataFolder, metrics, timers} = options;
 
@@ -34,10 +34,10 @@
   }
 
   void report();
-  return timers.every(lookEvery, () => void report());
+  return timers.every(reportInterval, () => void report());
 }
 
-/** 0 for a file that is not there yet. */
+/** Returns 0 for a file that does not exist yet. */
 async function sizeOf(file: string): Promise<number> {
   try {
     return (await stat(file)).size;
--- a/src/admin/report-load.ts
+++ b/src/admin/report-load.ts
@@ -1,28 +1,28 @@
 import type {Metrics} from '../metrics/metrics.js';
 import type {Subscription, Timers} from '../time/timers.js';
 
-/** What is read of a gate. */
+/** The load of a gate. */
 export interface LoadedGate {
   readonly running: number;
-  /** Running and waiting work over the slots. */
+  /** Running and waiting requests divided by the number of slots. */
   readonly load: number;
 }
 
-/** What is read of a gate's listener. */
+/** The answers of a gate's listener. */
 export interface AnswerSource {
-  /** Bytes of answers that wait to leave for other nodes. */
+  /** Bytes of answers to other nodes that have not been sent yet. */
   readonly unsent: number;
 }
 
-/** What is read of the upstream beside the node. */
+/** The slots of the node's upstream. */
 export interface SlotSource {
   upstream(): {readonly slots: number} | undefined;
 }
 
-/** Milliseconds between two looks. */
-const lookEvery = 1000;
+/** Interval between two reports, in milliseconds. */
+const reportInterval = 1000;
 
-/** Reports a gate's load from time to time, while there is an upstream. */
+/** Reports the load of a gate periodically while the node has an upstream. */
 export function reportLoad(
   gate: LoadedGate,
   answers: AnswerSource,
@@ -30,7 +30,7 @@
   metrics: Metrics,
   timers: Timers,
 ): Subscription {
-  return timers.every(lookEvery, () => {
+  return timers.every(reportInterval, () => {
     const slots = source.upstream()?.slots ?? 0;
     if (slots === 0) return;
     const queued = Math.round(gate.load * slots) - gate.running;
--- a/src/admin/reports.test.ts
+++ b/src/admin/reports.test.ts
@@ -18,7 +18,7 @@
   whole: true,
 };
 
-test("an outcome is reported under its policy's objective, with its retries", t => {
+test('an outcome is reported with the objective of its policy and its retries', t => {
   const answered: AnsweredRequest[] = [];
   const retried: Array<[string, number]> = [];
   const metrics = Object.assign(createNoMetrics(), {
@@ -44,7 +44,7 @@
   t.is(answered[3]!.code.name, 'upstream-error');
 });
 
-test('a change has converged once every node has it, and not before', t => {
+test('a change has converged only when it is in force on every node', t => {
   const timers = createFakeTimers();
   const times: number[] = [];
   const metrics = Object.assign(createNoMetrics(), {
@@ -65,8 +65,8 @@
   t.is(times.length, 1);
 });
 
-test('a change that never gets everywhere counts as beyond every bound', t => {
-  // A node that stays cut off would otherwise leave the figures looking good.
+test('a change that never converges is recorded above every bucket', t => {
+  // Otherwise a node that stays disconnected would not show in the metric.
   const timers = createFakeTimers();
   const times: number[] = [];
   const metrics = Object.assign(createNoMetrics(), {
--- a/src/admin/result-table.ts
+++ b/src/admin/result-table.ts
@@ -9,9 +9,10 @@
 import type {Code} from '../result/code.js';
 
 /**
- * Every result code of the program. Ranges: 1000 common, 2000 configuration
- * and operators, 3000 consensus and storage, 4000 distribution, 5000 requests,
- * 6000 claims, 7000 endpoints and membership, 8000 administration and reports.
+ * All result codes of the program, in ascending order. Ranges: 1000 common,
+ * 2000 configuration and operators, 3000 consensus and storage, 4000
+ * distribution, 5000 requests, 6000 claims, 7000 endpoints and membership, 8000
+ * administration and reports.
  */
 export const resultTable: readonly Code[] = [
   ...Object.values(commonCodes),
--- a/src/admin/token.ts
+++ b/src/admin/token.ts
@@ -1,20 +1,20 @@
 import {createHash, timingSafeEqual} from 'node:crypto';
 
-/** Decides whether an `authorization` header shows the token. */
+/** Checks whether an `authorization` header has the token. */
 export type Guard = (header: string | undefined) => boolean;
 
 /**
- * Creates the guard of state-changing requests; without a token it lets
- * nothing through. A plain comparison ends at the first wrong character, so
- * that the answer's time tells a guesser how far the guess was right. Digests
- * have one length and are compared whole, whatever was sent.
+ * Creates the guard for state-changing requests; without a token it refuses all
+ * of them. A plain string comparison ends at the first wrong character, so its
+ * duration would reveal how much of a guessed token is right. Therefore digests
+ * of equal length are compared in constant time.
  */
 export function createGuard(token: string | undefined): Guard {
   const expected = digest(`Bearer ${token ?? ''}`);
   const hasToken = token !== undefined && token !== '';
   return header => {
-    const same = timingSafeEqual(digest(header ?? ''), expected);
-    return same && hasToken;
+    const isEqual = timingSafeEqual(digest(header ?? ''), expected);
+    return isEqual && hasToken;
   };
 }
 
--- a/src/language/edit-parser.ts
+++ b/src/language/edit-parser.ts
@@ -7,7 +7,7 @@
 import * as values from './values.js';
 import {reject} from './values.js';
 
-/** What a policy gets where a command is silent. */
+/** Values of a policy's fields that a command does not give. */
 const policyDefaults = {
   priority: 'normal',
   attempts: 1,
@@ -15,28 +15,28 @@
   bodyLimit: 1024 * 1024,
 } as const;
 
-/** Share of good answers that a policy promises when it names none. */
-const targetDefault = 0.99;
+/** Target share of good answers of a policy without an objective. */
+const defaultTarget = 0.99;
 
 type Fields<T> = {-readonly [K in keyof T]?: T[K]};
 
 /**
- * The grammar of edits. Each rule reads its words and gives a typed edit;
- * values are checked inside `ACTION`, which chevrotain skips while it studies
- * the grammar.
+ * The grammar of edits. Each rule reads its words and returns a typed edit.
+ * Values are validated inside `ACTION`, which chevrotain skips while it
+ * analyzes the grammar.
  */
 export abstract class EditParser extends EmbeddedActionsParser {
   constructor() {
     super(vocabulary, {maxLookahead: 2});
   }
 
-  /** The content of a file to apply. */
+  /** Content of a file of edits. */
   readonly content = this.RULE('content', (): Edit[] => {
     this.MANY(() => this.CONSUME(Separator));
     return this.SUBRULE(this.edits);
   });
 
-  /** Edits with separators between. */
+  /** One or more edits, separated by separators. */
   protected readonly edits = this.RULE('edits', (): Edit[] => {
     const edits: Edit[] = [];
     edits.push(this.SUBRULE1(this.edit));
@@ -246,7 +246,10 @@
     return kind;
   }
 
-  /** Reads a keyword and its word; `index` tells uses in one rule apart. */
+  /**
+   * Reads a keyword and the word after it. `index` is the chevrotain index of
+   * the `CONSUME` call, which must be unique within a rule.
+   */
   private field<T, K extends keyof T>(
     index: number,
     fields: Fields<T>,
@@ -282,7 +285,7 @@
     attempts: fields.attempts ?? policyDefaults.attempts,
     repeatability: fields.repeatability ?? policyDefaults.repeatability,
     bodyLimit: fields.bodyLimit ?? policyDefaults.bodyLimit,
-    objective: fields.objective ?? {target: targetDefault, latency: deadline},
+    objective: fields.objective ?? {target: defaultTarget, latency: deadline},
   };
 }
 
--- a/src/language/parse.test.ts
+++ b/src/language/parse.test.ts
@@ -2,15 +2,15 @@
 import {isIncompleteBlock, parseCommand, parseEdits} from './parse.js';
 import {renderProblem} from './problem.js';
 
-function read(text: string): unknown {
+function parse(text: string): unknown {
   const parsed = parseCommand(text);
   return parsed.ok ? parsed.value : renderProblem(text, parsed.problem);
 }
 
-const a = {kind: 'service', value: {name: 'a', slowStart: 0}};
+const serviceA = {kind: 'service', value: {name: 'a', slowStart: 0}};
 
-test('items are put with units in place of bare numbers', t => {
-  t.deepEqual(read('put service stock-desk slow-start 5s'), {
+test('values of items have units', t => {
+  t.deepEqual(parse('put service stock-desk slow-start 5s'), {
     kind: 'change',
     edits: [
       {
@@ -20,7 +20,7 @@
     ],
   });
   t.deepEqual(
-    read(
+    parse(
       'put policy gate-checks deadline 250ms priority critical attempts 3 ' +
         'repeat idempotent body 64MiB objective 99.9% within 200ms',
     ),
@@ -46,7 +46,9 @@
     },
   );
   t.like(
-    read('put route gates methods POST,GET under p to drillvault prefix /gate'),
+    parse(
+      'put route gates methods POST,GET under p to drillvault prefix /gate',
+    ),
     {
       edits: [
         {
@@ -65,18 +67,18 @@
   );
 });
 
-test('a prefix names the command and the version it expects', t => {
-  t.deepEqual(read('as amina/7 expect 12 put service a'), {
+test('a prefix gives the id of the command and the expected version', t => {
+  t.deepEqual(parse('as amina/7 expect 12 put service a'), {
     kind: 'change',
     id: {operator: 'amina', sequence: 7},
     expectedVersion: 12,
-    edits: [{action: 'put', item: a}],
+    edits: [{action: 'put', item: serviceA}],
   });
 });
 
-test('several edits are one change, in a line or between begin and end', t => {
+test('several edits on one line or between begin and end form one change', t => {
   const edits = [
-    {action: 'put', item: a},
+    {action: 'put', item: serviceA},
     {action: 'remove', kind: 'route', name: 'r'},
     {
       action: 'put',
@@ -87,8 +89,8 @@
   ];
   const texts = ['put service a', 'remove route r', 'drain a-1 of a'];
   const all = [...texts, 'undrain a-2', 'release 0f'];
-  t.deepEqual(read(all.join('; ')), {kind: 'change', edits});
-  t.deepEqual(read(`begin\n  ${all.join('\n\n  ')}\nend # all\n`), {
+  t.deepEqual(parse(all.join('; ')), {kind: 'change', edits});
+  t.deepEqual(parse(`begin\n  ${all.join('\n\n  ')}\nend # all\n`), {
     kind: 'change',
     edits,
   });
@@ -96,24 +98,24 @@
   t.deepEqual(file, {ok: true, value: edits} as never);
 });
 
-test('queries', t => {
-  t.deepEqual(read('show services'), {kind: 'show', items: 'service'});
-  t.like(read('show routes r'), {items: 'route', name: 'r'});
-  t.like(read('show quarantines'), {items: 'quarantine'});
-  t.deepEqual(read('show in force'), {kind: 'show-in-force'});
-  t.deepEqual(read('show control'), {kind: 'show-control'});
-  t.deepEqual(read('history 5'), {kind: 'history', count: 5});
-  t.deepEqual(read('accept loss of crewbook'), {
+test('queries are parsed', t => {
+  t.deepEqual(parse('show services'), {kind: 'show', items: 'service'});
+  t.like(parse('show routes r'), {items: 'route', name: 'r'});
+  t.like(parse('show quarantines'), {items: 'quarantine'});
+  t.deepEqual(parse('show in force'), {kind: 'show-in-force'});
+  t.deepEqual(parse('show control'), {kind: 'show-control'});
+  t.deepEqual(parse('history 5'), {kind: 'history', count: 5});
+  t.deepEqual(parse('accept loss of crewbook'), {
     kind: 'accept-loss',
     service: 'crewbook',
   });
-  t.deepEqual(read('wait 12 within 5s'), {
+  t.deepEqual(parse('wait 12 within 5s'), {
     kind: 'wait',
     version: 12,
     within: 5000,
   });
   t.deepEqual(
-    read('replace control c-1 with c-4 at 127.0.0.1:7104 in hall-a'),
+    parse('replace control c-1 with c-4 at 127.0.0.1:7104 in hall-a'),
     {
       kind: 'replace',
       leaving: 'c-1',
@@ -126,14 +128,14 @@
   );
 });
 
-test('a keyword is a name where a name is asked for', t => {
-  t.like(read('put service service'), {
+test('a keyword can be used as a name', t => {
+  t.like(parse('put service service'), {
     edits: [{item: {value: {name: 'service'}}}],
   });
-  t.like(read('show services force'), {name: 'force'});
+  t.like(parse('show services force'), {name: 'force'});
 });
 
-const faults: ReadonlyArray<readonly [string, string]> = [
+const invalidTexts: ReadonlyArray<readonly [string, string]> = [
   [
     'put rotue stock',
     `
@@ -208,13 +210,13 @@
   ],
 ];
 
-for (const [text, shown] of faults) {
-  test(`the caret points at the word: ${JSON.stringify(text)}`, t => {
-    t.is(`\n${String(read(text))}`, shown);
+for (const [text, rendered] of invalidTexts) {
+  test(`the caret is under the unexpected word: ${JSON.stringify(text)}`, t => {
+    t.is(`\n${String(parse(text))}`, rendered);
   });
 }
 
-test('values out of their range are refused at the word', t => {
+test('invalid values are reported at their word', t => {
   for (const text of [
     'put policy p deadline 1s attempts 0',
     'put policy p deadline 1s objective 101% within 1s',
@@ -227,16 +229,16 @@
     'wait 99999999999999999999',
     'replace control a with b at host:7000 in c',
   ]) {
-    t.regex(String(read(text)), /\^+ expected /, text);
+    t.regex(String(parse(text)), /\^+ expected /, text);
   }
 });
 
-test('a begin without its end waits for more lines', t => {
+test('a block is incomplete until its end', t => {
   t.true(isIncompleteBlock('as amina/1 expect 4 begin put service a\n'));
   t.false(isIncompleteBlock('begin put service a; end'));
   t.false(isIncompleteBlock('put service begin'));
   t.true(
     isIncompleteBlock('begin put service end\n'),
-    'end as a name ends nothing',
+    'end as a name does not close the block',
   );
 });
--- a/src/language/parse.ts
+++ b/src/language/parse.ts
@@ -7,15 +7,15 @@
 import {lexer, Separator, Word} from './tokens.js';
 import {listChoices} from './values.js';
 
-/** A text as the language reads it. */
+/** The result of parsing a text. */
 export type Parsed<T> =
   | {readonly ok: true; readonly value: T}
   | {readonly ok: false; readonly problem: Problem};
 
-/** Expected words named in a message. */
-const wordsNamed = 12;
+/** Maximum number of expected words that a message lists. */
+const maxListedWords = 12;
 
-/** What the word after a keyword is, where it is not a name. */
+/** Describes the word after a keyword, unless it is a name. */
 const wordHints: Readonly<Record<string, string>> = {
   as: 'OPERATOR/SEQUENCE, such as amina/7',
   expect: 'a version',
@@ -37,37 +37,39 @@
 
 type RuleName = 'command' | 'content';
 
-/** Reads one command. */
+/** Parses one command. */
 export function parseCommand(text: string): Parsed<Statement> {
   return parse(text, 'command', () => parser.command());
 }
 
-/** Reads the edits of a file; they make one change. */
+/** Parses the edits of a file; they form one change. */
 export function parseEdits(text: string): Parsed<readonly Edit[]> {
   return parse(text, 'content', () => parser.content());
 }
 
-/** Whether a `begin` waits for its `end`, so that more lines belong to it. */
+/**
+ * Whether the text has a `begin` without its `end`, so that more lines follow.
+ */
 export function isIncompleteBlock(text: string): boolean {
   const {tokens} = lexer.tokenize(text);
-  const first = tokens.findIndex(({image}) => image === 'begin');
-  const isBlock = tokens.slice(0, Math.max(0, first)).every(isPrefix);
-  if (first === -1 || !isBlock) return false;
-  const isEnd = (token: IToken, at: number) =>
-    token.image === 'end' && tokens[at - 1]?.tokenType === Separator;
+  const beginIndex = tokens.findIndex(({image}) => image === 'begin');
+  const isBlock = tokens.slice(0, Math.max(0, beginIndex)).every(isPrefix);
+  if (beginIndex === -1 || !isBlock) return false;
+  const isEnd = (token: IToken, index: number) =>
+    token.image === 'end' && tokens[index - 1]?.tokenType === Separator;
   return !tokens.some(isEnd);
 }
 
-/** Only `as ID` and `expect VERSION` may come before a `begin`. */
-function isPrefix(token: IToken, at: number): boolean {
-  return at % 2 === 1 || token.image === 'as' || token.image === 'expect';
+/** Only `as ID` and `expect VERSION` may precede a `begin`. */
+function isPrefix(token: IToken, index: number): boolean {
+  return index % 2 === 1 || token.image === 'as' || token.image === 'expect';
 }
 
 function parse<T>(text: string, rule: RuleName, run: () => T): Parsed<T> {
   const {tokens, errors} = lexer.tokenize(text);
-  const [unread] = errors;
-  if (unread !== undefined) {
-    const {offset, length} = unread;
+  const [lexerError] = errors;
+  if (lexerError !== undefined) {
+    const {offset, length} = lexerError;
     const message = 'expected a closing "';
     return {ok: false, problem: {message, offset, length}};
   }
@@ -76,42 +78,42 @@
     const value = run();
     const [error] = parser.errors;
     if (error === undefined) return {ok: true, value};
-    return {ok: false, problem: describe(text, tokens, rule, error)};
+    return {ok: false, problem: describeError(text, tokens, rule, error)};
   } catch (error) {
     if (!(error instanceof ProblemError)) throw error;
     return {ok: false, problem: error.problem};
   }
 }
 
-function describe(
+function describeError(
   text: string,
   tokens: IToken[],
   rule: RuleName,
   error: IRecognitionException,
 ): Problem {
-  const at = tokens.indexOf(error.token);
-  const before = at === -1 ? tokens : tokens.slice(0, at);
-  const message = `expected ${listExpected(rule, before)}`;
-  if (at === -1) return {message, offset: text.trimEnd().length, length: 1};
+  const index = tokens.indexOf(error.token);
+  const preceding = index === -1 ? tokens : tokens.slice(0, index);
+  const message = `expected ${listExpected(rule, preceding)}`;
+  if (index === -1) return {message, offset: text.trimEnd().length, length: 1};
   const {startOffset, image} = error.token;
   return {message, offset: startOffset, length: image.trimEnd().length || 1};
 }
 
-function listExpected(rule: RuleName, before: IToken[]): string {
-  const paths = parser.computeContentAssist(rule, before);
-  const word = wordHints[before.at(-1)?.image ?? ''] ?? 'a name';
+function listExpected(rule: RuleName, preceding: IToken[]): string {
+  const paths = parser.computeContentAssist(rule, preceding);
+  const hint = wordHints[preceding.at(-1)?.image ?? ''] ?? 'a name';
   const labels = paths.map(({nextTokenType}) =>
-    nextTokenType === Word ? word : (nextTokenType.LABEL ?? ''),
+    nextTokenType === Word ? hint : (nextTokenType.LABEL ?? ''),
   );
-  const unique = [...new Set(labels)].slice(0, wordsNamed);
-  if (isWhole(rule, before)) unique.push('the end of the command');
+  const unique = [...new Set(labels)].slice(0, maxListedWords);
+  if (isComplete(rule, preceding)) unique.push('the end of the command');
   return listChoices(unique);
 }
 
-/** Whether the words so far would be a command by themselves. */
-function isWhole(rule: RuleName, before: IToken[]): boolean {
+/** Whether the preceding words alone form a complete text. */
+function isComplete(rule: RuleName, preceding: IToken[]): boolean {
   try {
-    parser.input = before;
+    parser.input = preceding;
     parser[rule]();
     return parser.errors.length === 0;
   } catch (error) {
--- a/src/language/parser.ts
+++ b/src/language/parser.ts
@@ -5,11 +5,11 @@
 import {Separator, Text, Word} from './tokens.js';
 import * as values from './values.js';
 
-/** Changes listed when `history` names no number. */
-const historyDefault = 20;
+/** Number of changes that `history` lists by default. */
+const defaultHistoryCount = 20;
 
-/** How long `wait` waits when it names no time, in milliseconds. */
-const waitDefault = 30_000;
+/** Default timeout of `wait`, in milliseconds. */
+const defaultWait = 30_000;
 
 /** The grammar of commands: changes with their prefix, and queries. */
 class LanguageParser extends EditParser {
@@ -63,7 +63,10 @@
     ]);
   });
 
-  /** The last edit too ends in a separator, so that `end` may be a name. */
+  /**
+   * Every edit, also the last one, must end in a separator, so that `end` may
+   * be a name.
+   */
   private readonly block = this.RULE('block', (): Edit[] => {
     const edits: Edit[] = [];
     this.key('begin');
@@ -140,7 +143,7 @@
 
   private readonly history = this.RULE('history', (): Statement => {
     this.key('history');
-    let count = historyDefault;
+    let count = defaultHistoryCount;
     this.OPTION(() => {
       const word = this.CONSUME(Word);
       this.ACTION(() => (count = values.toCount(word, 1)));
@@ -151,7 +154,7 @@
   private readonly wait = this.RULE('wait', (): Statement => {
     this.key('wait');
     const version = this.CONSUME1(Word);
-    let within = waitDefault;
+    let within = defaultWait;
     this.OPTION(() => {
       this.key('within');
       const word = this.CONSUME2(Word);
@@ -197,5 +200,5 @@
   });
 }
 
-/** The one parser; it keeps no state between commands. */
+/** The shared parser; it keeps no state between commands. */
 export const parser = new LanguageParser();
--- a/src/language/problem.ts
+++ b/src/language/problem.ts
@@ -1,21 +1,21 @@
-/** Why a text is not a command, and where. */
+/** A syntax error and its position. */
 export interface Problem {
-  /** What was expected, or what is wrong with the value. */
+  /** What was expected at this position. */
   readonly message: string;
-  /** Where the word starts in the text. */
+  /** Index of the word's first character in the text. */
   readonly offset: number;
-  /** Characters of the word; at least 1. */
+  /** Length of the word in characters; at least 1. */
   readonly length: number;
 }
 
-/** Carries a problem out of the parser. */
+/** Thrown by parser rules to report a problem. */
 export class ProblemError extends Error {
   constructor(readonly problem: Problem) {
     super(problem.message);
   }
 }
 
-/** Shows the line, a caret line under the word, and what was expected. */
+/** Renders the line, carets under the word, and the message. */
 export function renderProblem(text: string, problem: Problem): string {
   const start = text.lastIndexOf('\n', problem.offset - 1) + 1;
   const end = text.indexOf('\n', problem.offset);
@@ -26,6 +26,6 @@
   const pad = ' '.repeat(Math.max(0, column - indent.length));
   const caret = `${indent}${pad}${'^'.repeat(width)}`;
   const number = text.slice(0, start).split('\n').length;
-  const where = text.trimEnd().includes('\n') ? `line ${number}: ` : '';
-  return `${line}\n${caret} ${where}${problem.message}`;
+  const position = text.trimEnd().includes('\n') ? `line ${number}: ` : '';
+  return `${line}\n${caret} ${position}${problem.message}`;
 }
--- a/src/language/random-text.test.ts
+++ b/src/language/random-text.test.ts
@@ -10,15 +10,16 @@
   ...[';', '\n', '"', '"x y"', '#', '\t', '\r\n', '\u0000', 'é', '💧', ''],
 ];
 
-// Whatever is typed or piped in ends as a command or as a problem inside the
-// text; an exception would end a session and leave its other commands undone.
-test('any text is a command or a problem with a place in the text', t => {
+// Guards against exceptions in the parser, which would end a shell session
+// before its remaining commands have run. Any input must be parsed as a command
+// or rejected with a problem whose position is inside the text.
+test('any text gives a command or a problem with a position in the text', t => {
   const random = createRandom(11);
   let commands = 0;
-  for (let turn = 0; turn < 5000; turn++) {
+  for (let run = 0; run < 5000; run++) {
     const count = random.integer(9);
-    const picked = Array.from({length: count}, () => random.pick(words));
-    const text = picked.join(random.pick([' ', ' ', '']));
+    const parts = Array.from({length: count}, () => random.pick(words));
+    const text = parts.join(random.pick([' ', ' ', '']));
     isIncompleteBlock(text);
     for (const parsed of [parseCommand(text), parseEdits(text)]) {
       if (parsed.ok) {
--- a/src/language/statement.ts
+++ b/src/language/statement.ts
@@ -2,19 +2,19 @@
 import type {Edit} from '../configuration/messages.js';
 import type {Member} from '../consensus/consensus.js';
 
-/** The id of a command: resending it gets the first answer. */
+/** Id of a command; a resend with the same id gets the first answer. */
 export interface CommandId {
   readonly operator: string;
   readonly sequence: number;
 }
 
-/** What `as` and `expect` in front of a change say. */
+/** The `as` and `expect` prefixes of a change. */
 export interface Prefix {
   readonly id?: CommandId;
   readonly expectedVersion?: number;
 }
 
-/** One command of the operators' language. */
+/** A parsed command of the operators' language. */
 export type Statement =
   | ({readonly kind: 'change'; readonly edits: readonly Edit[]} & Prefix)
   | ({readonly kind: 'apply'; readonly file: string} & Prefix)
--- a/src/language/tokens.ts
+++ b/src/language/tokens.ts
@@ -1,23 +1,25 @@
 import {createToken, Lexer} from 'chevrotain';
 import type {TokenType} from 'chevrotain';
 
-/** Words, keywords and separators of the operators' language. */
+/** Tokens of the operators' language. */
 
-/** Anything but a space, separator, quote or comment; keywords are words too. */
+/**
+ * Any text without spaces, separators, quotes and comments; includes keywords.
+ */
 export const Word = createToken({
   name: 'Word',
   label: 'a word',
   pattern: /[^\s;"#]+/,
 });
 
-/** Quoted text, for file names. */
+/** Quoted text, used for file names. */
 export const Text = createToken({
   name: 'Text',
   label: 'quoted text',
   pattern: /"[^"\n]*"/,
 });
 
-/** Ends an edit. */
+/** Separates edits. */
 export const Separator = createToken({
   name: 'Separator',
   label: '";"',
@@ -83,22 +85,22 @@
   'at',
 ] as const;
 
-/** A word with a meaning of its own where the grammar asks for it. */
+/** A word that the grammar uses as a keyword; elsewhere it is a plain word. */
 export type Keyword = (typeof keywordTexts)[number];
 
-/** Longest first, or `services` would be taken for `service` and a rest. */
+/** Longest first; otherwise the lexer would match `services` as `service`. */
 const keywordTokens = new Map<Keyword, TokenType>(
   [...keywordTexts]
     .sort((left, right) => right.length - left.length)
     .map(text => [text, createKeyword(text)]),
 );
 
-/** The token of a keyword. */
+/** Returns the token type of a keyword. */
 export function keyword(text: Keyword): TokenType {
   return keywordTokens.get(text)!;
 }
 
-/** All tokens, in the order in which the lexer tries them. */
+/** All token types, in the order in which the lexer tries them. */
 export const vocabulary: TokenType[] = [
   Space,
   Comment,
--- a/src/language/values.ts
+++ b/src/language/values.ts
@@ -3,7 +3,7 @@
 import {ProblemError} from './problem.js';
 import type {CommandId} from './statement.js';
 
-/** Values of the language, read from single words. */
+/** Conversion of single words to typed values. */
 
 const milliseconds = {ms: 1, s: 1000, m: 60_000} as const;
 
@@ -14,7 +14,7 @@
   GiB: 1024 * 1024 * 1024,
 } as const;
 
-/** Fails at a word with what was expected there. */
+/** Throws a problem at a token; `expected` completes "expected ...". */
 export function reject(token: IToken, expected: string): never {
   throw new ProblemError({
     message: `expected ${expected}`,
@@ -23,7 +23,7 @@
   });
 }
 
-/** A name of an item, an instance, an operator or a process. */
+/** Reads the name of an item, an instance, an operator or a process. */
 export function toName(token: IToken): string {
   if (/^[a-z0-9][a-z0-9.-]{0,62}$/.test(token.image)) return token.image;
   return reject(
@@ -32,41 +32,43 @@
   );
 }
 
-/** A whole number of at least `least`. */
-export function toCount(token: IToken, least = 0): number {
+/** Reads a whole number of at least `min`. */
+export function toCount(token: IToken, min = 0): number {
   const value = Number(token.image);
   const isCount = /^\d+$/.test(token.image) && Number.isSafeInteger(value);
-  if (isCount && value >= least) return value;
-  return reject(token, `a whole number of at least ${least}`);
+  if (isCount && value >= min) return value;
+  return reject(token, `a whole number of at least ${min}`);
 }
 
-/** Milliseconds, such as from `250ms`, `5s` or `2m`. */
+/** Reads a duration such as `250ms`, `5s` or `2m`; returns milliseconds. */
 export function toDuration(token: IToken): number {
   const value = scale(token.image, milliseconds);
   return value ?? reject(token, 'a duration such as 250ms, 5s or 2m');
 }
 
-/** Bytes, such as from `64MiB`. */
+/** Reads a size such as `64MiB`; returns bytes. */
 export function toSize(token: IToken): number {
   const value = scale(token.image, bytes);
   return value ?? reject(token, 'a size such as 512B, 64KiB, 64MiB or 1GiB');
 }
 
-/** A share of 0 to 1, from a percentage such as `99.9%`. */
+/** Reads a percentage such as `99.9%`; returns a share from 0 to 1. */
 export function toShare(token: IToken): number {
   const match = /^(\d{1,3}(?:\.\d{1,6})?)%$/.exec(token.image);
   const percent = Number(match?.[1] ?? NaN);
   if (percent <= 100) return Number((percent / 100).toFixed(8));
-  return reject(token, 'a percentage of 0% to 100%, such as 99.9%');
+  return reject(token, 'a percentage from 0% to 100%, such as 99.9%');
 }
 
-/** A path prefix. */
+/** Reads a path prefix. */
 export function toPath(token: IToken): string {
   if (/^\/[!-~]*$/.test(token.image)) return token.image;
   return reject(token, 'a path that starts with /');
 }
 
-/** Methods, such as from `GET,POST`; sorted, each once. */
+/**
+ * Reads methods such as `GET,POST`; returns them sorted and without duplicates.
+ */
 export function toMethods(token: IToken): string[] {
   const methods = token.image.split(',');
   if (methods.every(method => /^[A-Z]{1,16}$/.test(method))) {
@@ -75,7 +77,7 @@
   return reject(token, 'methods in capitals, such as GET,POST');
 }
 
-/** One of `choices`. */
+/** Reads one of `choices`. */
 export function toChoice<T extends string>(
   token: IToken,
   choices: readonly T[],
@@ -84,13 +86,13 @@
   return choice ?? reject(token, listChoices(choices));
 }
 
-/** An IP number and port. */
+/** Reads an IP number and port. */
 export function toAddress(token: IToken): string {
   if (isAddress(token.image)) return token.image;
   return reject(token, 'an IP number and port, such as 127.0.0.1:7000');
 }
 
-/** A command's id, such as `amina/7`. */
+/** Reads the id of a command, such as `amina/7`. */
 export function toId(token: IToken): CommandId {
   const match = /^([a-z0-9][a-z0-9.-]{0,62})\/(\d+)$/.exec(token.image);
   const sequence = Number(match?.[2] ?? NaN);
@@ -100,7 +102,7 @@
   return {operator: match[1]!, sequence};
 }
 
-/** Lists choices as English does. */
+/** Joins choices as in an English sentence: `a, b or c`. */
 export function listChoices(choices: readonly string[]): string {
   if (choices.length < 2) return choices.join('');
   return `${choices.slice(0, -1).join(', ')} or ${choices.at(-1)}`;
--- a/src/operator/control-group.test.ts
+++ b/src/operator/control-group.test.ts
@@ -111,10 +111,10 @@
   });
 });
 
-// Guards against split brain. Operators on both sides of a network partition send
-// changes for the same expected version. The isolated leader must not accept
-// any; the majority's leader accepts one, and after the partition has healed the
-// other change gets a conflict.
+// Guards against split brain. Operators on both sides of a network partition
+// send changes for the same expected version. The isolated leader must not
+// accept any; the majority's leader accepts one, and after the partition has
+// healed the other change gets a conflict.
 test('of two changes on both sides of a network partition, one is accepted and the other gets a conflict', async t => {
   const {group, change} = await createControl();
   const oldLeader = group.leader()!;
--- a/src/operator/control-processes.test.ts
+++ b/src/operator/control-processes.test.ts
@@ -205,10 +205,10 @@
   await convergence();
 });
 
-// Guards against a replacement that is reported too early. A VM is lost with its
-// disk and replaced. As soon as the replacement is reported as done, a second
-// one of the initial VMs is lost with its disk. All accepted changes must be
-// kept, and the two remaining processes must accept new changes.
+// Guards against a replacement that is reported too early. A VM is lost with
+// its disk and replaced. As soon as the replacement is reported as done, a
+// second one of the initial VMs is lost with its disk. All accepted changes
+// must be kept, and the two remaining processes must accept new changes.
 test('no change is lost if a second VM and its disk fail right after the first was replaced', async t => {
   t.timeout(3 * timeout);
   const {control, client, leader, counts} = await deploy(t);
--- a/src/operator/operator-server.test.ts
+++ b/src/operator/operator-server.test.ts
@@ -27,9 +27,9 @@
 });
 
 // Guards against changes that run twice. The leader commits a change and its
-// answer is lost, so the client sends the command to the next leader. The answer
-// table, which is part of the replicated state, must give the first answer;
-// without it the change would run again.
+// answer is lost, so the client sends the command to the next leader. The
+// answer table, which is part of the replicated state, must give the first
+// answer; without it the change would run again.
 test('a change whose answer was lost runs once', async t => {
   const {group, addresses} = await deploy(t);
   group.decide('commit-and-lose');
@@ -74,9 +74,9 @@
   t.true((await clientOf(addresses, token).change(command)).ok);
 });
 
-// An operator waits for a version that is never reached while the process stops.
-// The wait must not delay the shutdown, and it must still be answered, since a
-// closed connection would look like a failure.
+// An operator waits for a version that is never reached while the process
+// stops. The wait must not delay the shutdown, and it must still be answered,
+// since a closed connection would look like a failure.
 test('a graceful shutdown answers pending requests and completes', async t => {
   const {addresses, close} = await deploy(t);
   const pending = request(
--- a/src/operator/run-operator-command.test.ts
+++ b/src/operator/run-operator-command.test.ts
@@ -89,11 +89,11 @@
   t.is(again.out, first.out);
 });
 
-// Guards against clocks that differ between VMs. A script on a VM whose clock is
-// ahead has sent more commands than the group keeps answers for. Sequences of
-// the same operator from a VM with the correct clock are then below the floor,
-// and would be refused as expired resends. The client knows that its command is
-// new, so it sends it again under a sequence above the floor.
+// Guards against clocks that differ between VMs. A script on a VM whose clock
+// is ahead has sent more commands than the group keeps answers for. Sequences
+// of the same operator from a VM with the correct clock are then below the
+// floor, and would be refused as expired resends. The client knows that its
+// command is new, so it sends it again under a sequence above the floor.
 test('an operator can make changes from a VM whose clock is behind that of another', async t => {
   const deployment = await deploy(t);
   const ahead = (Date.now() + 600_000) * 1000;
--- a/src/operator/run-statement.ts
+++ b/src/operator/run-statement.ts
@@ -118,8 +118,9 @@
 /**
  * Sends a command. One operator may use several VMs, whose clocks differ or
  * give the same microsecond, so a new sequence may already be used or expired.
- * If the first attempt is refused for this reason, the command has certainly not
- * run, and it is sent again under a higher sequence, at most `renewals` times.
+ * If the first attempt is refused for this reason, the command has certainly
+ * not run, and it is sent again under a higher sequence, at most `renewals`
+ * times.
  */
 async function sendChange(
   session: Session,
--- a/src/operator/sequence.ts
+++ b/src/operator/sequence.ts
@@ -2,8 +2,8 @@
 
 /**
  * Creates a generator of increasing sequences. They are microseconds since the
- * epoch, so no state has to be stored between invocations. If two invocations of
- * one operator use the same microsecond, the answer table refuses the second
+ * epoch, so no state has to be stored between invocations. If two invocations
+ * of one operator use the same microsecond, the answer table refuses the second
  * command unless both are the same.
  *
  * The returned function gives a sequence above all earlier ones and `above`.
--- a/src/settings/resolve.test.ts
+++ b/src/settings/resolve.test.ts
@@ -120,7 +120,8 @@
 });
 
 test('a control process must be listed as a member with its own addresses', t => {
-  // Otherwise the other members would connect to an address where nothing listens.
+  // Otherwise the other members would connect to an address where nothing
+  // listens.
   const away = {...control.members[0]!, name: 'control-2'};
   t.regex(
     problem({...control, members: [away]}),
