--- a/src/operator/control-processes.test.ts
+++ b/src/operator/control-processes.test.ts
@@ -116,7 +116,8 @@
 // round two operators send different changes for the same expected version to
 // different control processes. In some rounds the leader is killed with SIGKILL
 // while the changes are pending, and is restarted later; the clients resend.
-// Exactly one change must be accepted, and later resends get the same answers.
+// Exactly one change must be accepted and the other must get a conflict with
+// its version; later resends must get the same answers.
 test('of concurrent changes exactly one is accepted while leaders are killed, and resends get the same answers', async t => {
   t.timeout(3 * timeout);
   const {control, client, leader, convergence} = await deploy(t);
--- a/src/operator/exit-codes.ts
+++ b/src/operator/exit-codes.ts
@@ -3,7 +3,7 @@
 import type {Refusal} from './messages.js';
 
 /**
- * Exit codes of operator commands; a shell exits with the highest of its
+ * Exit codes of operator commands; a shell exits with the highest code of its
  * commands.
  */
 export const operatorExitCodes = {
--- a/src/operator/help.ts
+++ b/src/operator/help.ts
@@ -38,6 +38,7 @@
   --json              print one JSON object per command
 
 Exit codes: 0 accepted; 2 usage; 3 refused; 4 conflict; 5 unknown outcome;
-6 no control process reached. A shell exits with the highest of its commands.
+6 no control process reached. A shell exits with the highest code of its
+commands.
 
 `;
--- a/src/operator/item-normalizer.ts
+++ b/src/operator/item-normalizer.ts
@@ -10,6 +10,7 @@
 import {firstProblem} from '../result/first-problem.js';
 import {nextTurn} from '../time/turn.js';
 
+/** Validates and normalizes items. */
 export interface ItemNormalizer {
   /** Returns the items in their normal form, or the first problem found. */
   normalize(items: readonly Item[]): Promise<Result<Item[]>>;
--- a/src/operator/render.ts
+++ b/src/operator/render.ts
@@ -46,7 +46,7 @@
     ['service', 'slow-start', 'keepers'],
     services.map(({name, slowStart, keepers}) => [
       name,
-      showDuration(slowStart),
+      formatDuration(slowStart),
       keepers?.members.map(({instance}) => instance).join(' ') ?? '-',
     ]),
   );
@@ -79,12 +79,12 @@
     policies.map(policy => [
       policy.name,
       policy.priority,
-      showDuration(policy.deadline),
+      formatDuration(policy.deadline),
       `${policy.attempts}`,
       policy.repeatability,
-      showSize(policy.bodyLimit),
-      `${showShare(policy.objective.target)} within ` +
-        showDuration(policy.objective.latency),
+      formatSize(policy.bodyLimit),
+      `${formatShare(policy.objective.target)} within ` +
+        formatDuration(policy.objective.latency),
     ]),
   );
 }
@@ -217,18 +217,18 @@
   ];
 }
 
-function showDuration(milliseconds: number): string {
+function formatDuration(milliseconds: number): string {
   const isSeconds = milliseconds >= 1000 && milliseconds % 1000 === 0;
   return isSeconds ? `${milliseconds / 1000}s` : `${milliseconds}ms`;
 }
 
-function showSize(bytes: number): string {
+function formatSize(bytes: number): string {
   const units = ['GiB', 'MiB', 'KiB'];
   const sizes = [1024 ** 3, 1024 ** 2, 1024];
   const index = sizes.findIndex(size => bytes >= size && bytes % size === 0);
   return index === -1 ? `${bytes}B` : `${bytes / sizes[index]!}${units[index]}`;
 }
 
-function showShare(share: number): string {
+function formatShare(share: number): string {
   return `${Number((share * 100).toFixed(6))}%`;
 }
