--- a/src/admin/label-limit.ts
+++ b/src/admin/label-limit.ts
@@ -1,24 +1,27 @@
-/** The label value of whatever came after the limit was reached. */
+/** The label value that replaces new values once the limit is reached. */
 export const overflowLabel = 'other';
 
-/** Keeps the number of a label's values bounded. */
-export interface LabelLimit {
-  /** `value` while it is among the first ones seen, else `other`. */
+/** Limits the number of values of a label. */
+export interface LabelLimiter {
+  /**
+   * Returns `value` if it is among the first values seen, otherwise `other`.
+   */
   label(value: string): string;
 }
 
 /**
- * Creates a limit of `limit` values, first come first served. Each label value
- * costs series that live as long as the process: a node that met all of 710
- * services' routes would otherwise hold tens of thousands of them.
+ * Creates a limiter that keeps the first `limit` values. Each label value adds
+ * series that are kept as long as the process runs; without a limit, a node
+ * that receives requests for the routes of all 710 services would hold tens of
+ * thousands of series.
  */
-export function createLabelLimit(limit: number): LabelLimit {
-  const known = new Set<string>();
+export function createLabelLimiter(limit: number): LabelLimiter {
+  const seen = new Set<string>();
   return {
     label(value) {
-      if (known.has(value)) return value;
-      if (known.size >= limit) return overflowLabel;
-      known.add(value);
+      if (seen.has(value)) return value;
+      if (seen.size >= limit) return overflowLabel;
+      seen.add(value);
       return value;
     },
   };
--- a/src/admin/reports.test.ts
+++ b/src/admin/reports.test.ts
@@ -4,7 +4,7 @@
 import {createNoMetrics} from '../metrics/metrics.js';
 import type {AnsweredRequest} from '../metrics/metrics.js';
 import {createFakeTimers} from '../time/fakes/fake-timers.js';
-import {createConvergence} from './convergence.js';
+import {createConvergenceTracker} from './convergence.js';
 import {reportOutcome} from './report-outcome.js';
 
 const outcome = {
@@ -18,7 +18,7 @@
   whole: true,
 };
 
-test("an outcome is reported under its policy's objective, with its retries", t => {
+test('an outcome is reported with the objective of its policy and its retries', t => {
   const answered: AnsweredRequest[] = [];
   const retried: Array<[string, number]> = [];
   const metrics = Object.assign(createNoMetrics(), {
@@ -44,7 +44,7 @@
   t.is(answered[3]!.code.name, 'upstream-error');
 });
 
-test('a change has converged once every node has it, and not before', t => {
+test('a change has converged only when it is in force on every node', t => {
   const timers = createFakeTimers();
   const times: number[] = [];
   const metrics = Object.assign(createNoMetrics(), {
@@ -52,7 +52,7 @@
   });
   let inForce = 0;
   const fleet = () => ({nodes: 3, inForce});
-  const convergence = createConvergence({timers, metrics, fleet});
+  const convergence = createConvergenceTracker({timers, metrics, fleet});
   convergence.accepted(5);
   timers.advance(400);
   inForce = 2;
@@ -65,15 +65,15 @@
   t.is(times.length, 1);
 });
 
-test('a change that never gets everywhere counts as beyond every bound', t => {
-  // A node that stays cut off would otherwise leave the figures looking good.
+test('a change that never converges is recorded above every bucket', t => {
+  // Otherwise a node that stays disconnected would not show in the metric.
   const timers = createFakeTimers();
   const times: number[] = [];
   const metrics = Object.assign(createNoMetrics(), {
     converged: (duration: number) => void times.push(duration),
   });
   const fleet = () => ({nodes: 3, inForce: 2});
-  const convergence = createConvergence({timers, metrics, fleet});
+  const convergence = createConvergenceTracker({timers, metrics, fleet});
   convergence.accepted(5);
   timers.advance(61_000);
   t.deepEqual(times, [60_000]);
--- a/src/operator/router.ts
+++ b/src/operator/router.ts
@@ -8,18 +8,21 @@
 } from '../configuration/schemas.js';
 import type {Log} from '../log/log.js';
 import type {Refusal} from './messages.js';
-import {refuse} from './refusal.js';
+import {createRefusal} from './refusal.js';
 import type {OperatorService} from './service.js';
 import {firstProblem} from '../result/first-problem.js';
 
-/** What one request to the operators' API brings. */
+/** Context of a request to the operators' API. */
 export interface RequestContext {
-  /** Whether the request showed the deployment's operator token. */
+  /** Whether the request has the deployment's operator token. */
   readonly authorized: boolean;
 }
 
-/** Longest single wait; clients ask again until their own time is over. */
-export const longestWait = 10_000;
+/**
+ * Maximum duration of one wait call, in milliseconds; clients repeat it until
+ * their own timeout.
+ */
+export const maxWait = 10_000;
 
 const memberShape = z
   .object({
@@ -37,7 +40,7 @@
   }),
 });
 
-/** Every procedure of the operators' API. */
+/** Creates the router with all procedures of the operators' API. */
 export function createRouter(service: OperatorService, log: Log) {
   const procedure = trpc.procedure.use(async ({next}) => {
     const result = await next();
@@ -64,7 +67,7 @@
         z
           .object({
             version: z.number().int().nonnegative(),
-            within: z.number().nonnegative().max(longestWait),
+            within: z.number().nonnegative().max(maxWait),
           })
           .strict(),
       )
@@ -79,19 +82,22 @@
   });
 }
 
-/** The API's type, for the client. */
+/** Type of the API, for the client. */
 export type OperatorRouter = ReturnType<typeof createRouter>;
 
 function describeError(error: TRPCError): Refusal {
   switch (error.code) {
     case 'UNAUTHORIZED':
-      return refuse(codes.unauthorized, 'the operator token is wrong');
+      return createRefusal(codes.unauthorized, 'the operator token is wrong');
     case 'PAYLOAD_TOO_LARGE':
-      return refuse(codes.tooLarge, 'the request is too large');
+      return createRefusal(codes.tooLarge, 'the request is too large');
     case 'INTERNAL_SERVER_ERROR':
-      return refuse(codes.internal, 'see the log of the control process');
+      return createRefusal(
+        codes.internal,
+        'internal error; see the log of the control process',
+      );
     default:
-      return refuse(codes.invalidInput, describeInput(error));
+      return createRefusal(codes.invalidInput, describeInput(error));
   }
 }
 
--- a/src/operator/run-operator-command.ts
+++ b/src/operator/run-operator-command.ts
@@ -1,7 +1,7 @@
 import {createInterface} from 'node:readline';
 import type {Readable} from 'node:stream';
 import {configurationCodes} from '../configuration/codes.js';
-import {parseCommand, isOpen} from '../language/parse.js';
+import {parseCommand, isIncompleteBlock} from '../language/parse.js';
 import {renderProblem} from '../language/problem.js';
 import type {Problem} from '../language/problem.js';
 import {createTimers} from '../time/timers.js';
@@ -12,49 +12,51 @@
 import {languageHelp, optionsHelp} from './help.js';
 import {resolveOptions} from './options.js';
 import type {Environment, OperatorOptions} from './options.js';
-import {createSequence} from './sequence.js';
+import {createSequenceGenerator} from './sequence.js';
 import {runStatement} from './run-statement.js';
 import type {Outcome, Session} from './run-statement.js';
 
-/** Where an operator command reads and writes. */
+/** Input, output and environment of an operator command. */
 export interface Streams {
   readonly input: Readable;
   readonly out: (text: string) => void;
   readonly error: (text: string) => void;
   readonly environment: Environment;
-  /** The client to use in place of one over the network, in tests. */
+  /** Replaces the network client in tests. */
   readonly client?: OperatorClient;
   readonly timers?: Timers;
 }
 
-/** The word that takes commands from standard input. */
-const shellWord = 'shell';
+/** The command that reads commands from standard input. */
+const shellCommand = 'shell';
 
-/** Runs the operator commands of one invocation; resolves with its exit code. */
+/**
+ * Runs the operator commands of one invocation and resolves with the exit code.
+ */
 export async function runOperatorCommand(
   args: readonly string[],
   streams: Streams,
 ): Promise<number> {
   const resolved = resolveOptions(args, streams.environment);
-  if (!resolved.ok) return misuse(streams, resolved.message);
+  if (!resolved.ok) return reportMisuse(streams, resolved.message);
   const options = resolved.value;
   if (options.help || options.words[0] === 'help') {
     streams.out(optionsHelp + languageHelp);
     return operatorExitCodes.accepted;
   }
   const missing = findMissing(options, streams);
-  if (missing !== undefined) return misuse(streams, missing);
+  if (missing !== undefined) return reportMisuse(streams, missing);
   const session = createSession(options, streams);
   const run = (text: string) => runText(session, text, options, streams);
   const text = options.words.join(' ');
   try {
-    return await (text === shellWord ? runShell(streams, run) : run(text));
+    return await (text === shellCommand ? runShell(streams, run) : run(text));
   } finally {
     await session.client.close();
   }
 }
 
-function misuse(streams: Streams, problem: string): number {
+function reportMisuse(streams: Streams, problem: string): number {
   streams.error(`foxbarrow: ${problem}; see foxbarrow help\n`);
   return operatorExitCodes.usage;
 }
@@ -65,7 +67,7 @@
 ): string | undefined {
   if (options.words.length === 0) return 'a command is missing';
   if (streams.client === undefined && options.addresses.length === 0) {
-    return 'name a control process with --control or FOXBARROW_CONTROL';
+    return 'give a control process with --control or FOXBARROW_CONTROL';
   }
   return undefined;
 }
@@ -75,7 +77,7 @@
   const {addresses, token, timeout, operator} = options;
   const client =
     streams.client ?? createOperatorClient({addresses, token, timeout, timers});
-  const nextSequence = createSequence(timers);
+  const nextSequence = createSequenceGenerator(timers);
   return {
     client,
     nextId: above => ({operator, sequence: nextSequence(above)}),
@@ -98,9 +100,9 @@
   const statement = parsed.value;
   const isChange = statement.kind === 'change' || statement.kind === 'apply';
   if (isChange && statement.id === undefined && options.operator === '') {
-    return misuse(
+    return reportMisuse(
       streams,
-      'name the operator with --operator or FOXBARROW_OPERATOR',
+      'give the operator with --operator or FOXBARROW_OPERATOR',
     );
   }
   const outcome = await runStatement(session, statement);
@@ -127,12 +129,14 @@
     streams.out(`${JSON.stringify({exitCode, result: json})}\n`);
     return;
   }
-  const isGood = outcome.exitCode === operatorExitCodes.accepted;
-  if (isGood) streams.out(outcome.text);
+  const isAccepted = outcome.exitCode === operatorExitCodes.accepted;
+  if (isAccepted) streams.out(outcome.text);
   else streams.error(outcome.text);
 }
 
-/** Runs each line, or each begin ... end; goes on after one that failed. */
+/**
+ * Runs each line, or each begin ... end block, and continues after a failure.
+ */
 async function runShell(
   streams: Streams,
   run: (text: string) => Promise<number>,
@@ -141,7 +145,7 @@
   let text = '';
   for await (const line of createInterface({input: streams.input})) {
     text += `${line}\n`;
-    if (isOpen(text)) continue;
+    if (isIncompleteBlock(text)) continue;
     if (!isBlank(text)) highest = Math.max(highest, await run(text));
     text = '';
   }
