--- a/scenarios/chance.test.ts
+++ b/scenarios/chance.test.ts
@@ -1,8 +1,8 @@
 import test from 'ava';
 import {putService} from '../src/configuration/fakes/sample.js';
 import {createRandom} from '../src/random/random.js';
-import {createStage} from './stage.js';
-import type {Stage} from './stage.js';
+import {createCluster} from './cluster.js';
+import type {Cluster} from './cluster.js';
 
 const vms = ['alpha', 'beta', 'gamma'];
 const nodes = ['node-1', 'node-2', 'node-3', 'node-4', 'node-5'];
@@ -11,27 +11,27 @@
 const patience = 120_000;
 const accepted = 1000;
 
-function isWhole(stage: Stage, name: string): boolean {
+function isWhole(stage: Cluster, name: string): boolean {
   const leader = stage.leader();
-  const life = stage.control(name).life();
+  const life = stage.control(name).runningParts();
   if (leader === undefined || life === undefined) return false;
-  const {consensus, machine} = stage.control(leader).life()!;
+  const {consensus, machine} = stage.control(leader).runningParts()!;
   const own = stage.control(name).name;
   const votes = consensus.status().voters.some(voter => voter.name === own);
   return votes && life.machine.digest() === machine.digest();
 }
 
-async function restart(stage: Stage, name: string, isDiskLost: boolean) {
+async function restart(stage: Cluster, name: string, isDiskLost: boolean) {
   const vm = stage.control(name);
   vm.kill();
   if (isDiskLost) vm.loseDisk();
   const starting = vm.start();
-  await stage.until('a start', () => vm.life() !== undefined);
+  await stage.until('a start', () => vm.runningParts() !== undefined);
   await starting;
 }
 
 /** Services whose changes were accepted while chance had its way. */
-async function disturb(stage: Stage, seed: number): Promise<string[]> {
+async function disturb(stage: Cluster, seed: number): Promise<string[]> {
   const random = createRandom(seed);
   const kept: string[] = [];
   let cut = false;
@@ -81,7 +81,7 @@
 // is in force at every node, and no node ever went back to an older version.
 for (let seed = 1; seed <= seeds; seed++) {
   test(`faults in an order of chance, seed ${seed}`, async t => {
-    const stage = createStage();
+    const stage = createCluster();
     await stage.startControls();
     for (const name of nodes) stage.startNode(name, vms);
     const kept = await disturb(stage, seed);
--- a/scenarios/stage.ts
+++ b/scenarios/cluster.ts
@@ -24,11 +24,11 @@
 }
 
 /** Everything that a scenario's steps act on. */
-export interface Stage {
+export interface Cluster {
   readonly timers: FakeTimers;
   readonly network: FakeNetwork;
   /** Safeguards that are out; read when a process starts. */
-  readonly off: Set<string>;
+  readonly disabledSafeguards: Set<string>;
   /** By the names of the scenario; `alpha` led first. */
   readonly controls: Map<string, ControlVm>;
   readonly nodes: Map<string, Node>;
@@ -37,7 +37,7 @@
   /** The last command of each operator. */
   readonly commands: Map<string, Command>;
   /** Figures that later steps compare with. */
-  readonly notes: Map<string, number>;
+  readonly notedValues: Map<string, number>;
   control(name: string): ControlVm;
   node(name: string): Node;
   /** Starts three control VMs and names them after the first election. */
@@ -64,7 +64,7 @@
 const answerTimeout = 5_000;
 
 /** Creates a stage on which nothing runs yet. */
-export function createStage(): Stage {
+export function createCluster(): Cluster {
   const timers = createFakeTimers(1_000_000);
   const network = createFakeNetwork(timers);
   const log = createSilentLog();
@@ -112,7 +112,7 @@
 
   function leader(): string | undefined {
     const leading = [...controls].filter(([, vm]) => {
-      const status = vm.life()?.consensus.status();
+      const status = vm.runningParts()?.consensus.status();
       return status?.role === 'leader' && !isCutOff.has(vm.name);
     });
     return leading.length === 1 ? leading[0]![0] : undefined;
@@ -172,7 +172,7 @@
     name: string,
     command: Command,
   ): Promise<Answer | undefined> {
-    const life = controls.get(name)!.life();
+    const life = controls.get(name)!.runningParts();
     if (life === undefined) return undefined;
     const entry = life.machine.prepare(command, timers.wall());
     const result = await within(life.consensus.propose(entry));
@@ -193,12 +193,12 @@
   return {
     timers,
     network,
-    off,
+    disabledSafeguards: off,
     controls,
     nodes,
     answers: [],
     commands,
-    notes: new Map(),
+    notedValues: new Map(),
     control(name) {
       const vm = controls.get(name);
       if (vm === undefined) throw new Error(`no control VM ${name}`);
--- a/scenarios/control-vm.ts
+++ b/scenarios/control-vm.ts
@@ -44,7 +44,7 @@
   /** Where nodes reach it. */
   readonly address: string;
   /** Parts of the present life; undefined while it is down. */
-  life(): Life | undefined;
+  runningParts(): RunningParts | undefined;
   start(): Promise<void>;
   /** Ends the process at once; unsynced bytes are lost. */
   kill(): void;
@@ -53,7 +53,7 @@
 }
 
 /** The parts of one life. */
-export interface Life {
+export interface RunningParts {
   readonly consensus: Consensus;
   readonly machine: ConfigurationMachine;
 }
@@ -73,7 +73,7 @@
   const address = distributionAddress(name);
   let disk: FakeDisk = createFakeDisk({timers});
   let clock = createFreezableTimers(timers);
-  let life: Life | undefined;
+  let life: RunningParts | undefined;
 
   async function start(): Promise<void> {
     const own = clock;
@@ -121,7 +121,7 @@
   return {
     name,
     address,
-    life: () => life,
+    runningParts: () => life,
     start,
     kill() {
       // Whatever this life still had to do, it never does.
--- a/scenarios/scenarios.test.ts
+++ b/scenarios/scenarios.test.ts
@@ -1,15 +1,15 @@
 import {fileURLToPath} from 'node:url';
 import test from 'ava';
 import {readScenarios} from './run.js';
-import {createStage} from './stage.js';
-import type {Stage} from './stage.js';
+import {createCluster} from './cluster.js';
+import type {Cluster} from './cluster.js';
 import type {Step} from './step.js';
 import {controlSteps} from './steps/control.js';
-import {createEndpointStage, endpointSteps} from './steps/endpoints.js';
+import {createEndpointCluster, endpointSteps} from './steps/endpoints.js';
 import {nodeSteps} from './steps/nodes.js';
 import {operatorSteps} from './steps/operators.js';
 
-const steps: ReadonlyArray<Step<Stage>> = [
+const steps: ReadonlyArray<Step<Cluster>> = [
   ...controlSteps.all,
   ...nodeSteps.all,
   ...operatorSteps.all,
@@ -20,7 +20,7 @@
 
 for (const scenario of readScenarios(folderOf('configuration'), steps)) {
   test(scenario.name, async t => {
-    await scenario.run(createStage());
+    await scenario.run(createCluster());
     t.pass();
   });
 }
@@ -30,7 +30,7 @@
   endpointSteps.all,
 )) {
   test(scenario.name, async t => {
-    await scenario.run(createEndpointStage());
+    await scenario.run(createEndpointCluster());
     t.pass();
   });
 }
--- a/scenarios/steps/control.ts
+++ b/scenarios/steps/control.ts
@@ -1,37 +1,37 @@
 import assert from 'node:assert/strict';
 import type {ControlVm} from '../control-vm.js';
-import type {Stage} from '../stage.js';
+import type {Cluster} from '../cluster.js';
 import {createSteps} from '../step.js';
 
 /** Steps of control VMs: faults of processes, disks and links. */
-export const controlSteps = createSteps<Stage>();
+export const controlSteps = createSteps<Cluster>();
 const {action, check} = controlSteps;
 
-const statusOf = (stage: Stage, name: string) =>
-  stage.control(name).life()!.consensus.status();
+const statusOf = (stage: Cluster, name: string) =>
+  stage.control(name).runningParts()!.consensus.status();
 
-async function startAgain(stage: Stage, vm: ControlVm): Promise<void> {
+async function startAgain(stage: Cluster, vm: ControlVm): Promise<void> {
   const starting = vm.start();
-  await stage.until('a start', () => vm.life() !== undefined);
+  await stage.until('a start', () => vm.runningParts() !== undefined);
   await starting;
 }
 
 /** Whether a VM votes and has applied all that the leader has. */
-function isWhole(stage: Stage, name: string): boolean {
+function isWhole(stage: Cluster, name: string): boolean {
   const leader = stage.leader();
-  const life = stage.control(name).life();
+  const life = stage.control(name).runningParts();
   if (leader === undefined || life === undefined) return false;
   const {voters, commitIndex} = statusOf(stage, leader);
   const own = stage.control(name).name;
   if (!voters.some(voter => voter.name === own)) return false;
-  const {machine} = stage.control(leader).life()!;
+  const {machine} = stage.control(leader).runningParts()!;
   const isSame = life.machine.digest() === machine.digest();
   return isSame && life.consensus.status().commitIndex >= commitIndex;
 }
 
 action('safeguard {word} is off', (stage, safeguard) => {
   assert.equal(stage.controls.size, 0, 'switch safeguards off first');
-  stage.off.add(safeguard);
+  stage.disabledSafeguards.add(safeguard);
 });
 
 action('control VMs alpha, beta and gamma, led by alpha', stage =>
@@ -86,7 +86,7 @@
 );
 
 action('the term is noted', stage => {
-  stage.notes.set('term', statusOf(stage, stage.leader()!).term);
+  stage.notedValues.set('term', statusOf(stage, stage.leader()!).term);
 });
 
 check('a leader is found', stage =>
@@ -106,7 +106,7 @@
 });
 
 check('{word} serves nothing as current', async (stage, name) => {
-  const {consensus} = stage.control(name).life()!;
+  const {consensus} = stage.control(name).runningParts()!;
   let isServed = false;
   let isOver = false;
   void consensus.readBarrier().then(result => {
@@ -119,12 +119,12 @@
 
 check('the term is as noted', stage => {
   const {term} = statusOf(stage, stage.leader()!);
-  assert.equal(term, stage.notes.get('term'));
+  assert.equal(term, stage.notedValues.get('term'));
 });
 
 check('the term has risen', stage => {
   const {term} = statusOf(stage, stage.leader()!);
-  assert.ok(term > stage.notes.get('term')!, `the term is ${term}`);
+  assert.ok(term > stage.notedValues.get('term')!, `the term is ${term}`);
 });
 
 check('{word} holds the same state as the leader', (stage, name) =>
--- a/scenarios/steps/endpoints.ts
+++ b/scenarios/steps/endpoints.ts
@@ -4,18 +4,18 @@
 import {createSteps} from '../step.js';
 
 /** Homes, instances and callers of a scenario about announcements. */
-export interface EndpointStage {
+export interface EndpointCluster {
   mesh: FakeMesh;
   readonly nodes: Map<string, FakeNode>;
 }
 
 /** Creates an empty stage for announcements. */
-export function createEndpointStage(): EndpointStage {
+export function createEndpointCluster(): EndpointCluster {
   return {mesh: createFakeMesh(), nodes: new Map()};
 }
 
 /** Steps of announcements between homes. */
-export const endpointSteps = createSteps<EndpointStage>();
+export const endpointSteps = createSteps<EndpointCluster>();
 const {action, check} = endpointSteps;
 
 action('announcements have no order', stage => {
--- a/scenarios/steps/nodes.ts
+++ b/scenarios/steps/nodes.ts
@@ -1,22 +1,22 @@
 import assert from 'node:assert/strict';
-import type {Stage} from '../stage.js';
+import type {Cluster} from '../cluster.js';
 import {createSteps} from '../step.js';
 
 /** Steps of nodes: what is in force where, through restarts and cuts. */
-export const nodeSteps = createSteps<Stage>();
+export const nodeSteps = createSteps<Cluster>();
 const {action, check} = nodeSteps;
 
-const currentOf = (stage: Stage, name: string) =>
+const currentOf = (stage: Cluster, name: string) =>
   stage.node(name).subscriber.current();
 
 /** The newest version that operators were told is accepted. */
-function acceptedVersion(stage: Stage): number {
+function acceptedVersion(stage: Cluster): number {
   const versions = stage.answers.map(answer => answer?.version ?? 0);
   return Math.max(0, ...versions);
 }
 
 /** Waits until the accepted version is in force at every node. */
-async function reachAll(stage: Stage): Promise<void> {
+async function reachAll(stage: Cluster): Promise<void> {
   const version = acceptedVersion(stage);
   await stage.until(`version ${version} everywhere`, () =>
     [...stage.nodes.keys()].every(
--- a/scenarios/steps/operators.ts
+++ b/scenarios/steps/operators.ts
@@ -1,22 +1,22 @@
 import assert from 'node:assert/strict';
 import {putDrain, putService} from '../../src/configuration/fakes/sample.js';
 import {commonCodes} from '../../src/result/codes.js';
-import type {Stage} from '../stage.js';
+import type {Cluster} from '../cluster.js';
 import {createSteps} from '../step.js';
 
 /** Steps of operators: changes, races, resends and what they see. */
-export const operatorSteps = createSteps<Stage>();
+export const operatorSteps = createSteps<Cluster>();
 const {action, check} = operatorSteps;
 
 const accepted = commonCodes.ok.number;
 
 /** The configuration of the VM that leads; waits for a leader. */
-async function readLeader(stage: Stage) {
+async function readLeader(stage: Cluster) {
   await stage.until('a leader', () => stage.leader() !== undefined);
-  return stage.control(stage.leader()!).life()!.machine;
+  return stage.control(stage.leader()!).runningParts()!.machine;
 }
 
-function lastAnswers(stage: Stage, count: number) {
+function lastAnswers(stage: Cluster, count: number) {
   const answers = stage.answers.slice(-count);
   assert.equal(answers.length, count, `${count} answers were expected`);
   return answers;
@@ -82,7 +82,7 @@
 action(
   '{word} sends service {word} to {word}, which dies before it answers',
   async (stage, operator, service, name) => {
-    const {consensus, machine} = stage.control(name).life()!;
+    const {consensus, machine} = stage.control(name).runningParts()!;
     const command = stage.prepare(operator, [putService(service)]);
     const before = consensus.status().lastIndex;
     const entry = machine.prepare(command, stage.timers.wall());
@@ -91,7 +91,7 @@
     await stage.until('a copy at a follower', () =>
       followers.some(
         each =>
-          stage.control(each).life()!.consensus.status().lastIndex > before,
+          stage.control(each).runningParts()!.consensus.status().lastIndex > before,
       ),
     );
     stage.control(name).kill();
--- a/src/burn/command.ts
+++ b/src/burn/command.ts
@@ -9,7 +9,7 @@
 import {computeBurn} from './burn.js';
 import type {BurnReport, Target} from './burn.js';
 import {burnHelp} from './help.js';
-import {askTargets, readTargets} from './objectives.js';
+import {requestTargets, readTargets} from './objectives.js';
 import {resolveBurnOptions} from './options.js';
 import type {BurnOptions} from './options.js';
 import {renderPage} from './page.js';
@@ -17,16 +17,16 @@
 import type {Samples} from './samples.js';
 import {readSamples, writeSamples} from './samples-file.js';
 import {scrapeNodes} from './scrape.js';
-import type {Round} from './scrape.js';
+import type {ScrapeResult} from './scrape.js';
 import {renderTable} from './table.js';
 
 /** Where the command reads and writes; stand-ins in tests. */
-export interface Surroundings {
+export interface CommandContext {
   readonly out: (text: string) => void;
   readonly error: (text: string) => void;
   readonly environment: Readonly<Record<string, string | undefined>>;
   readonly timers: Timers;
-  readonly scrape: (nodes: readonly string[]) => Promise<Round>;
+  readonly scrape: (nodes: readonly string[]) => Promise<ScrapeResult>;
   readonly targets: (options: BurnOptions) => Promise<Result<Target[]>>;
 }
 
@@ -45,7 +45,7 @@
 /** The command with its surroundings given. */
 export async function runReport(
   args: readonly string[],
-  surroundings: Surroundings,
+  surroundings: CommandContext,
 ): Promise<number> {
   const {out, error, environment} = surroundings;
   const options = resolveBurnOptions(args, environment);
@@ -68,7 +68,7 @@
 
 async function makeReport(
   options: BurnOptions,
-  surroundings: Surroundings,
+  surroundings: CommandContext,
 ): Promise<Result<BurnReport>> {
   const targets = await surroundings.targets(options);
   if (!targets.ok) return targets;
@@ -88,9 +88,9 @@
 /** Scrapes until the time is over, saving after each round. */
 async function sample(
   options: BurnOptions,
-  {scrape, timers}: Surroundings,
+  {scrape, timers}: CommandContext,
 ): Promise<Result<Sampled>> {
-  const {samplesFile, nodes, length, every, period} = options;
+  const {samplesFile, nodes, samplingDuration: length, scrapeInterval: every, period} = options;
   const kept =
     samplesFile === undefined
       ? success(noSamples)
@@ -140,7 +140,7 @@
 async function fetchTargets(options: BurnOptions): Promise<Result<Target[]>> {
   const {objectivesFile, control} = options;
   if (objectivesFile !== undefined) return readTargets(objectivesFile);
-  if (control.length > 0) return askTargets(control, options.token);
+  if (control.length > 0) return requestTargets(control, options.token);
   return failure(
     adminCodes.objectivesMissing,
     'name the policies: --control ADDRESS or --objectives FILE',
--- a/src/burn/objectives.ts
+++ b/src/burn/objectives.ts
@@ -34,7 +34,7 @@
 }
 
 /** The objectives of the policies in force, from the control group. */
-export async function askTargets(
+export async function requestTargets(
   addresses: readonly Address[],
   token: string | undefined,
 ): Promise<Result<Target[]>> {
--- a/src/burn/scrape.ts
+++ b/src/burn/scrape.ts
@@ -8,7 +8,7 @@
 /** Reads the request counts of nodes from their admin listeners. */
 
 /** What a round of scrapes gave. */
-export interface Round {
+export interface ScrapeResult {
   readonly scrapes: readonly Scrape[];
   /** Nodes that gave nothing usable in time. */
   readonly unreached: readonly Address[];
@@ -36,7 +36,7 @@
 });
 
 /** Scrapes all nodes once. */
-export async function scrapeNodes(nodes: readonly Address[]): Promise<Round> {
+export async function scrapeNodes(nodes: readonly Address[]): Promise<ScrapeResult> {
   const scrapes: Scrape[] = [];
   const unreached: Address[] = [];
   const waiting = [...nodes];
