--- a/scenarios/chance.test.ts
+++ b/scenarios/chance.test.ts
@@ -8,100 +8,111 @@
 const nodes = ['node-1', 'node-2', 'node-3', 'node-4', 'node-5'];
 const steps = 25;
 const seeds = 30;
-const patience = 120_000;
+/** Milliseconds. */
+const waitTimeout = 120_000;
 const accepted = 1000;
 
-function isWhole(stage: Cluster, name: string): boolean {
-  const leader = stage.leader();
-  const life = stage.control(name).runningParts();
+function isUpToDate(cluster: Cluster, name: string): boolean {
+  const leader = cluster.leader();
+  const life = cluster.control(name).life();
   if (leader === undefined || life === undefined) return false;
-  const {consensus, machine} = stage.control(leader).runningParts()!;
-  const own = stage.control(name).name;
-  const votes = consensus.status().voters.some(voter => voter.name === own);
-  return votes && life.machine.digest() === machine.digest();
+  const {consensus, machine} = cluster.control(leader).life()!;
+  const memberName = cluster.control(name).name;
+  const isVoter = consensus
+    .status()
+    .voters.some(voter => voter.name === memberName);
+  return isVoter && life.machine.digest() === machine.digest();
 }
 
-async function restart(stage: Cluster, name: string, isDiskLost: boolean) {
-  const vm = stage.control(name);
+async function restart(cluster: Cluster, name: string, isDiskLost: boolean) {
+  const vm = cluster.control(name);
   vm.kill();
   if (isDiskLost) vm.loseDisk();
   const starting = vm.start();
-  await stage.until('a start', () => vm.runningParts() !== undefined);
+  await cluster.until('the start of a process', () => vm.life() !== undefined);
   await starting;
 }
 
-/** Services whose changes were accepted while chance had its way. */
-async function disturb(stage: Cluster, seed: number): Promise<string[]> {
+/** Injects random faults and changes; resolves with the accepted services. */
+async function disturb(cluster: Cluster, seed: number): Promise<string[]> {
   const random = createRandom(seed);
-  const kept: string[] = [];
-  let cut = false;
+  const acceptedServices: string[] = [];
+  let isCut = false;
   let repairing: string | undefined;
 
   async function change(number: number): Promise<void> {
     const name = `service-${number}`;
-    const command = stage.prepare('amina', [putService(name)]);
-    const leader = stage.leader();
+    const command = cluster.prepare('amina', [putService(name)]);
+    const leader = cluster.leader();
     if (leader === undefined) return;
-    const answer = await stage.send(leader, command);
-    if (answer?.code === accepted) kept.push(name);
+    const answer = await cluster.send(leader, command);
+    if (answer?.code === accepted) acceptedServices.push(name);
   }
 
   async function act(number: number): Promise<void> {
     const name = random.pick(vms);
     const draw = random.integer(9);
     if (draw < 4) return change(number);
-    if (draw === 4 && !cut) stage.cutOff(name);
-    if (draw === 4) cut = true;
-    if (draw === 5) stage.heal();
-    if (draw === 5) cut = false;
-    if (draw === 6) return restart(stage, name, false);
-    const mayLose = !cut && vms.every(vm => isWhole(stage, vm));
-    if (draw === 7 && repairing === undefined && mayLose) {
+    if (draw === 4 && !isCut) cluster.cutOff(name);
+    if (draw === 4) isCut = true;
+    if (draw === 5) cluster.heal();
+    if (draw === 5) isCut = false;
+    if (draw === 6) return restart(cluster, name, false);
+    const mayLoseDisk = !isCut && vms.every(vm => isUpToDate(cluster, vm));
+    if (draw === 7 && repairing === undefined && mayLoseDisk) {
       repairing = name;
-      return restart(stage, name, true);
+      return restart(cluster, name, true);
     }
     if (draw !== 8) return;
     const node = random.pick(nodes);
-    stage.stopNode(node);
-    stage.startNode(node, vms);
+    cluster.stopNode(node);
+    cluster.startNode(node, vms);
   }
 
   for (let number = 0; number < steps; number++) {
     await act(number);
-    await stage.timers.advanceAsync(random.integer(1500));
-    if (repairing && isWhole(stage, repairing)) repairing = undefined;
+    await cluster.timers.advanceAsync(random.integer(1500));
+    if (repairing && isUpToDate(cluster, repairing)) repairing = undefined;
   }
-  stage.heal();
-  return kept;
+  cluster.heal();
+  return acceptedServices;
 }
 
-// What operators and callers see: control VMs are killed, lose their disks one
-// after the other's repair and are cut off, and nodes restart, in any order
-// and together. Once the network is whole every accepted change is there, it
-// is in force at every node, and no node ever went back to an older version.
+// Control VMs are killed, are cut off and lose their disks (the next one only
+// after the last is repaired), and nodes restart, in random order and at the
+// same time. Once the network heals, every accepted change must be in force at
+// every node, and no node may have gone back to an older version.
 for (let seed = 1; seed <= seeds; seed++) {
-  test(`faults in an order of chance, seed ${seed}`, async t => {
-    const stage = createCluster();
-    await stage.startControls();
-    for (const name of nodes) stage.startNode(name, vms);
-    const kept = await disturb(stage, seed);
-    const isAll = () => vms.every(name => isWhole(stage, name));
-    await stage.until('every VM is whole', isAll, patience);
-    const last = stage.prepare('bolat', [putService('last')]);
-    const answer = await stage.submit(last);
+  test(`faults in random order, seed ${seed}`, async t => {
+    const cluster = createCluster();
+    await cluster.startControls();
+    for (const name of nodes) cluster.startNode(name, vms);
+    const acceptedServices = await disturb(cluster, seed);
+    const areAllUpToDate = () => vms.every(name => isUpToDate(cluster, name));
+    await cluster.until(
+      'every VM with the current state',
+      areAllUpToDate,
+      waitTimeout,
+    );
+    const last = cluster.prepare('bolat', [putService('last')]);
+    const answer = await cluster.submit(last);
     t.is(answer?.code, accepted);
     const versionOf = (name: string) =>
-      stage.node(name).subscriber.current()?.version;
-    const isEverywhere = () =>
+      cluster.node(name).subscriber.current()?.version;
+    const isInForceEverywhere = () =>
       nodes.every(name => versionOf(name) === answer!.version);
-    await stage.until('it is in force everywhere', isEverywhere, patience);
+    await cluster.until(
+      'the last change in force at every node',
+      isInForceEverywhere,
+      waitTimeout,
+    );
     for (const name of nodes) {
-      const {versions} = stage.node(name);
+      const {versions} = cluster.node(name);
       const sorted = [...versions].sort((left, right) => left - right);
       t.deepEqual(versions, sorted);
-      const {services} = stage.node(name).subscriber.current()!;
+      const {services} = cluster.node(name).subscriber.current()!;
       t.deepEqual(
-        kept.filter(service => !services.has(service)),
+        acceptedServices.filter(service => !services.has(service)),
         [],
       );
     }
--- a/scenarios/cluster.ts
+++ b/scenarios/cluster.ts
@@ -1,4 +1,4 @@
-/** The stage of a scenario: three control VMs, nodes and operators. */
+/** The cluster that a scenario runs on: three control VMs, nodes and operators. */
 import {decodeAnswer} from '../src/configuration/entry.js';
 import type {Answer, Command, Edit} from '../src/configuration/messages.js';
 import {createHome} from '../src/distribution/home.js';
@@ -14,56 +14,62 @@
 import {createControlVm} from './control-vm.js';
 import type {ControlVm, Safeguards} from './control-vm.js';
 
-/** One node through its lives; it has no disk. */
+/** One node across its restarts; it has no disk. */
 export interface Node {
   readonly name: string;
   home: Home;
   subscriber: Subscriber;
-  /** Versions in the order in which they came into force, over all lives. */
+  /** Versions in the order in which they came into force, across restarts. */
   readonly versions: number[];
 }
 
-/** Everything that a scenario's steps act on. */
+/** The state that the steps of a scenario share. */
 export interface Cluster {
   readonly timers: FakeTimers;
   readonly network: FakeNetwork;
-  /** Safeguards that are out; read when a process starts. */
+  /** Names of safeguards that are switched off; read when a process starts. */
   readonly disabledSafeguards: Set<string>;
-  /** By the names of the scenario; `alpha` led first. */
+  /** By the names that scenarios use; `alpha` is the first leader. */
   readonly controls: Map<string, ControlVm>;
   readonly nodes: Map<string, Node>;
-  /** Answers that operators got, the latest last. */
+  /** Answers to operators, the latest last; undefined where none came. */
   readonly answers: Array<Answer | undefined>;
   /** The last command of each operator. */
   readonly commands: Map<string, Command>;
-  /** Figures that later steps compare with. */
+  /** Values that later steps compare with. */
   readonly notedValues: Map<string, number>;
   control(name: string): ControlVm;
   node(name: string): Node;
   /** Starts three control VMs and names them after the first election. */
   startControls(): Promise<void>;
-  /** Starts or restarts a node; its homes are named control VMs. */
+  /** Starts or restarts a node; `homes` are names of control VMs. */
   startNode(name: string, homes: readonly string[]): void;
   stopNode(name: string): void;
-  /** The VM that leads with a majority behind it, by its name here. */
+  /** Name of the leader that is not cut off; undefined unless there is exactly one. */
   leader(): string | undefined;
-  /** The next command of an operator. */
+  /** Creates an operator's next command. */
   prepare(operator: string, edits: readonly Edit[], expected?: number): Command;
   /** Sends a command to one control VM; undefined when no answer comes. */
   send(name: string, command: Command): Promise<Answer | undefined>;
-  /** Sends a command to each VM in turn until one answers it. */
+  /** Sends a command to the leader, and again until an answer comes or time is up. */
   submit(command: Command): Promise<Answer | undefined>;
   cutOff(name: string): void;
-  /** Ends all cuts. */
+  /** Restores all connections. */
   heal(): void;
-  /** Lets time pass until `done`; throws with `wish` when it never is. */
-  until(wish: string, done: () => boolean, limit?: number): Promise<void>;
+  /** Advances the time until `done`; throws with `description` after the limit. */
+  until(
+    description: string,
+    done: () => boolean,
+    limit?: number,
+  ): Promise<void>;
 }
 
-const patience = 30_000;
+/** Milliseconds. */
+const waitTimeout = 30_000;
+/** Milliseconds. */
 const answerTimeout = 5_000;
 
-/** Creates a stage on which nothing runs yet. */
+/** Creates a cluster without running processes. */
 export function createCluster(): Cluster {
   const timers = createFakeTimers(1_000_000);
   const network = createFakeNetwork(timers);
@@ -74,31 +80,32 @@
   const commands = new Map<string, Command>();
   let seed = 1;
 
-  const without = (names: readonly string[]) =>
+  const disabledAmong = (names: readonly string[]) =>
     Object.fromEntries(
       names.filter(name => off.has(name)).map(name => [name, false]),
     );
 
   const safeguards = (): Safeguards => ({
-    consensus: without(['preVote', 'checkQuorum', 'storageIdentity']),
-    machine: without(['answers']),
+    consensus: disabledAmong(['preVote', 'checkQuorum', 'storageIdentity']),
+    machine: disabledAmong(['answers']),
     proof: !off.has('proof'),
   });
 
   async function until(
-    wish: string,
+    description: string,
     done: () => boolean,
-    limit = patience,
+    limit = waitTimeout,
   ): Promise<void> {
     const end = timers.now() + limit;
     await settle();
     while (!done()) {
-      if (timers.now() >= end) throw new Error(`it never came: ${wish}`);
+      if (timers.now() >= end)
+        throw new Error(`timed out waiting for ${description}`);
       await timers.advanceAsync(10);
     }
   }
 
-  /** The value of a promise, or undefined when it does not settle in time. */
+  /** The value of a promise; undefined when it does not settle within the timeout. */
   async function within<T>(promise: Promise<T>): Promise<T | undefined> {
     let outcome: {value: T} | undefined;
     void promise.then(value => (outcome = {value}));
@@ -112,19 +119,19 @@
 
   function leader(): string | undefined {
     const leading = [...controls].filter(([, vm]) => {
-      const status = vm.runningParts()?.consensus.status();
-      return status?.role === 'leader' && !isCutOff.has(vm.name);
+      const status = vm.life()?.consensus.status();
+      return status?.role === 'leader' && !cutOffMembers.has(vm.name);
     });
     return leading.length === 1 ? leading[0]![0] : undefined;
   }
 
-  const isCutOff = new Set<string>();
+  const cutOffMembers = new Set<string>();
 
   async function startControls(): Promise<void> {
     const domains = ['hall-a', 'hall-b', 'hall-c'];
-    const members = domains.map((failureDomain, at) => ({
-      name: `control-${at + 1}`,
-      address: `10.0.0.${at + 1}:7000`,
+    const members = domains.map((failureDomain, index) => ({
+      name: `control-${index + 1}`,
+      address: `10.0.0.${index + 1}:7000`,
       failureDomain,
     }));
     for (const member of members) {
@@ -135,13 +142,13 @@
       controls.set(vm.name, vm);
     }
     for (const vm of controls.values()) await startVm(vm);
-    await until('a first leader', () => leader() !== undefined);
+    await until('the first leader', () => leader() !== undefined);
     await timers.advanceAsync(1000);
     const first = controls.get(leader()!)!;
     const others = [...controls.values()].filter(vm => vm !== first);
     controls.clear();
-    ['alpha', 'beta', 'gamma'].forEach((name, at) =>
-      controls.set(name, [first, ...others][at]!),
+    ['alpha', 'beta', 'gamma'].forEach((name, index) =>
+      controls.set(name, [first, ...others][index]!),
     );
   }
 
@@ -172,7 +179,7 @@
     name: string,
     command: Command,
   ): Promise<Answer | undefined> {
-    const life = controls.get(name)!.runningParts();
+    const life = controls.get(name)!.life();
     if (life === undefined) return undefined;
     const entry = life.machine.prepare(command, timers.wall());
     const result = await within(life.consensus.propose(entry));
@@ -180,7 +187,7 @@
   }
 
   async function submit(command: Command): Promise<Answer | undefined> {
-    const end = timers.now() + patience;
+    const end = timers.now() + waitTimeout;
     while (timers.now() < end) {
       const name = leader();
       const answer = name === undefined ? undefined : await send(name, command);
@@ -226,17 +233,17 @@
     send,
     submit,
     cutOff(name) {
-      const own = controls.get(name)!.name;
+      const memberName = controls.get(name)!.name;
       const others = [...controls.values(), ...nodes.values()];
       for (const other of others) {
-        if (other.name === own) continue;
-        network.cut(own, other.name);
-        network.cut(other.name, own);
+        if (other.name === memberName) continue;
+        network.cut(memberName, other.name);
+        network.cut(other.name, memberName);
       }
-      isCutOff.add(own);
+      cutOffMembers.add(memberName);
     },
     heal() {
-      isCutOff.clear();
+      cutOffMembers.clear();
       network.heal();
     },
     until,
--- a/scenarios/configuration/isolated-control-vm.feature
+++ b/scenarios/configuration/isolated-control-vm.feature
@@ -1,6 +1,7 @@
 Feature: An isolated control VM
-  A partition cuts one control VM off without any sign to it. It must accept
-  nothing, serve nothing as current, and disturb nobody when it returns.
+  A partition cuts one control VM off, and no connection error tells it so. It
+  must accept no change and serve no linearizable read, and its return must not
+  cause an election.
 
   Scenario: an isolated leader accepts nothing and steps down
     Given control VMs alpha, beta and gamma, led by alpha
@@ -8,27 +9,27 @@
     And amina puts service stock-desk
     And bolat sends service crewbook to alpha
     Then bolat got no answer
-    And alpha knows that it leads nobody
-    And alpha serves nothing as current
+    And alpha has stepped down
+    And alpha serves no linearizable read
 
-  Scenario: its change of that time never shows
+  Scenario: a change sent to the isolated leader is never applied
     Given control VMs alpha, beta and gamma, led by alpha
     When alpha is cut off
     And bolat sends service crewbook to alpha
     And amina puts service stock-desk
     And the network heals
-    And alpha is whole again
+    And alpha is a voter with the current state
     Then service stock-desk exists
-    And service crewbook is lost
+    And service crewbook does not exist
 
-  Scenario: without check-quorum it goes on taking itself for the leader
+  Scenario: without check-quorum an isolated leader continues to act as leader
     Given safeguard checkQuorum is off
     And control VMs alpha, beta and gamma, led by alpha
     When alpha is cut off
     And 60 seconds pass
-    Then alpha still takes itself for the leader
+    Then alpha still acts as leader
 
-  Scenario: a follower that returns after long isolation disturbs nobody
+  Scenario: a follower that returns after long isolation causes no election
     Given control VMs alpha, beta and gamma, led by alpha
     When the term is noted
     And gamma is cut off
@@ -38,7 +39,7 @@
     Then the term is as noted
     And gamma holds the same state as the leader
 
-  Scenario: without pre-vote its return ends a term that worked
+  Scenario: without pre-vote the follower's return ends the leader's term
     Given safeguard preVote is off
     And control VMs alpha, beta and gamma, led by alpha
     When the term is noted
--- a/scenarios/control-vm.ts
+++ b/scenarios/control-vm.ts
@@ -1,4 +1,4 @@
-/** Control VMs of a stage: the real slices over fake disks, links and time. */
+/** Control VMs of a scenario: the real modules on fake disks, links and timers. */
 import type {ConfigurationMachine} from '../src/configuration/create-configuration-machine.js';
 import type {MachineSafeguards} from '../src/configuration/create-configuration-machine.js';
 import {createSampleMachine} from '../src/configuration/fakes/sample.js';
@@ -19,15 +19,15 @@
 import {createDistributionHost} from '../src/relay/distribution-host.js';
 import type {FakeTimers} from '../src/time/fakes/fake-timers.js';
 
-/** Safeguards that a scenario takes out. */
+/** Safeguards that a scenario switches off. */
 export interface Safeguards {
   readonly consensus: Partial<NonNullable<ConsensusOptions['safeguards']>>;
   readonly machine: Partial<MachineSafeguards>;
-  /** A home answers a nonce only by a quorum. */
+  /** Whether a home confirms a nonce by a quorum before it answers. */
   readonly proof: boolean;
 }
 
-/** What a control VM is made of. */
+/** Options of createControlVm. */
 export interface ControlVmOptions {
   readonly member: Member;
   readonly members: readonly Member[];
@@ -38,13 +38,13 @@
   readonly safeguards: () => Safeguards;
 }
 
-/** One control VM through the lives of its process. */
+/** One control VM across restarts of its process. */
 export interface ControlVm {
   readonly name: string;
-  /** Where nodes reach it. */
+  /** Address of its distribution listener. */
   readonly address: string;
-  /** Parts of the present life; undefined while it is down. */
-  runningParts(): RunningParts | undefined;
+  /** Parts of the running process; undefined while it is down. */
+  life(): RunningParts | undefined;
   start(): Promise<void>;
   /** Ends the process at once; unsynced bytes are lost. */
   kill(): void;
@@ -52,19 +52,21 @@
   loseDisk(): void;
 }
 
-/** The parts of one life. */
+/** Parts of a running control process. */
 export interface RunningParts {
   readonly consensus: Consensus;
   readonly machine: ConfigurationMachine;
 }
 
+/** Milliseconds. */
 const heartbeat = 50;
+/** Milliseconds. */
 const electionTimeout = 500;
 const snapshotEntries = 50;
 
 const distributionAddress = (name: string) => `${name}:distribution`;
 
-/** Creates a control VM that is down, with an empty disk. */
+/** Creates a stopped control VM with an empty disk. */
 export function createControlVm(options: ControlVmOptions): ControlVm {
   const {member, members, timers, network} = options;
   const {name} = member;
@@ -73,14 +75,14 @@
   const address = distributionAddress(name);
   let disk: FakeDisk = createFakeDisk({timers});
   let clock = createFreezableTimers(timers);
-  let life: RunningParts | undefined;
+  let parts: RunningParts | undefined;
 
   async function start(): Promise<void> {
-    const own = clock;
+    const processClock = clock;
     const safeguards = options.safeguards();
     const shared = {
-      timers: own,
-      network: createFreezableNetwork(network.from(name), own),
+      timers: processClock,
+      network: createFreezableNetwork(network.from(name), processClock),
       random: createRandom(random.integer(1_000_000)),
       log,
     };
@@ -109,27 +111,27 @@
       fellows: () => members.map(each => distributionAddress(each.name)),
       source: createSectionSource(machine),
       barrier,
-      asOf: createFreshness(barrier, own).asOf,
+      asOf: createFreshness(barrier, processClock).asOf,
       batchWindow: 50,
       lease: 10_000,
       safeguards: {proof: safeguards.proof},
     } as const;
     await createDistributionHost(host);
-    if (own === clock) life = {consensus, machine};
+    if (processClock === clock) parts = {consensus, machine};
   }
 
   return {
     name,
     address,
-    runningParts: () => life,
+    life: () => parts,
     start,
     kill() {
-      // Whatever this life still had to do, it never does.
+      // Pending timers and messages of the killed process never fire.
       clock.freeze();
       clock = createFreezableTimers(timers);
       network.kill(name);
       disk.crash();
-      life = undefined;
+      parts = undefined;
     },
     loseDisk: () => void (disk = createFakeDisk({timers})),
   };
--- a/scenarios/run.test.ts
+++ b/scenarios/run.test.ts
@@ -3,36 +3,36 @@
 import {createSteps} from './step.js';
 
 const {all, action, check} = createSteps<string[]>();
-action('{word} waits {number} ms', (stage, name, duration) => {
-  stage.push(`${name} ${duration + 1}`);
+action('{word} waits {number} ms', (world, name, duration) => {
+  world.push(`${name} ${duration + 1}`);
 });
-check('{word} is there', (stage, name) => {
-  if (!stage.includes(name)) throw new Error(`${name} is not there`);
+check('{word} is there', (world, name) => {
+  if (!world.includes(name)) throw new Error(`${name} is not there`);
 });
 
 const parse = (...lines: string[]) =>
   parseScenarios('x.feature', ['Feature: f', ...lines].join('\n'), all);
 
 test('steps run in order with their typed arguments', async t => {
-  const stage = ['amina'];
+  const world = ['amina'];
   const [scenario] = parse(
     'Scenario: s',
     'When amina waits 20 ms',
     'Then amina is there',
   );
-  await scenario!.run(stage);
-  t.deepEqual(stage, ['amina', 'amina 21']);
+  await scenario!.run(world);
+  t.deepEqual(world, ['amina', 'amina 21']);
   t.is(scenario!.name, 'f: s');
 });
 
-test('a check that fails names its step', async t => {
+test('a failed check names its step', async t => {
   const [scenario] = parse('Scenario: s', 'Then bolat is there');
   await t.throwsAsync(scenario!.run([]), {
     message: 'at "bolat is there": bolat is not there',
   });
 });
 
-test('an unknown step, or one of the other kind, is an error', t => {
+test('an unknown step or a step under the wrong keyword is an error', t => {
   const then = 'Then amina is there';
   t.throws(() => parse('Scenario: s', 'When amina sleeps', then), {
     message: /unknown action "amina sleeps"/,
@@ -45,7 +45,7 @@
   });
 });
 
-test('a scenario without a Then is an error', t => {
+test('a scenario without a Then step is an error', t => {
   t.throws(() => parse('Scenario: s', 'When amina waits 5 ms'), {
     message: /no Then/,
   });
@@ -53,7 +53,7 @@
   t.throws(() => parse(), {message: /no scenario/});
 });
 
-test('an argument that nothing uses is an error', t => {
+test('a table or a column that no step uses is an error', t => {
   t.throws(
     () => parse('Scenario: s', 'Then amina is there', '  | a | table |'),
     {message: /no step takes the table/},
--- a/scenarios/run.ts
+++ b/scenarios/run.ts
@@ -1,4 +1,4 @@
-/** Turns feature files into scenarios that can be run. */
+/** Parses feature files into runnable scenarios. */
 import {readFileSync, readdirSync} from 'node:fs';
 import {join} from 'node:path';
 import {
@@ -11,17 +11,17 @@
 import type {GherkinDocument, Pickle, PickleStep} from '@cucumber/messages';
 import type {Step} from './step.js';
 
-/** One scenario, bound to its steps. */
-export interface Scenario<Stage> {
+/** A scenario whose steps are bound to their definitions. */
+export interface Scenario<World> {
   readonly name: string;
-  run(stage: Stage): Promise<void>;
+  run(world: World): Promise<void>;
 }
 
-/** Reads all feature files of a folder; each fault in them is an error. */
-export function readScenarios<Stage>(
+/** Reads all feature files of a folder; throws on an invalid one. */
+export function readScenarios<World>(
   folder: string,
-  steps: ReadonlyArray<Step<Stage>>,
-): Array<Scenario<Stage>> {
+  steps: ReadonlyArray<Step<World>>,
+): Array<Scenario<World>> {
   const files = readdirSync(folder).filter(name => name.endsWith('.feature'));
   return files
     .sort()
@@ -30,39 +30,39 @@
     );
 }
 
-/** Reads the scenarios of one feature file. */
-export function parseScenarios<Stage>(
+/** Parses the scenarios of one feature file. */
+export function parseScenarios<World>(
   file: string,
   text: string,
-  steps: ReadonlyArray<Step<Stage>>,
-): Array<Scenario<Stage>> {
+  steps: ReadonlyArray<Step<World>>,
+): Array<Scenario<World>> {
   const newId = IdGenerator.incrementing();
   const matcher = new GherkinClassicTokenMatcher();
   const document = new Parser(new AstBuilder(newId), matcher).parse(text);
-  refuseUnusedColumns(file, document);
+  rejectUnusedColumns(file, document);
   const pickles = compile(document, file, newId);
   if (pickles.length === 0) throw new Error(`${file}: no scenario`);
   const feature = document.feature?.name ?? file;
   return pickles.map(pickle =>
-    bind(`${feature}: ${pickle.name}`, pickle, steps),
+    bindScenario(`${feature}: ${pickle.name}`, pickle, steps),
   );
 }
 
-function bind<Stage>(
+function bindScenario<World>(
   name: string,
   pickle: Pickle,
-  steps: ReadonlyArray<Step<Stage>>,
-): Scenario<Stage> {
-  const bound = pickle.steps.map(step => find(name, step, steps));
+  steps: ReadonlyArray<Step<World>>,
+): Scenario<World> {
+  const bound = pickle.steps.map(step => bindStep(name, step, steps));
   if (!bound.some(({step}) => step.kind === 'check')) {
     throw new Error(`${name}: no Then; a scenario must check something`);
   }
   return {
     name,
-    async run(stage) {
+    async run(world) {
       for (const {step, args, text} of bound) {
         try {
-          await step.run(stage, args);
+          await step.run(world, args);
         } catch (error) {
           throw new Error(`at "${text}": ${(error as Error).message}`, {
             cause: error,
@@ -73,29 +73,30 @@
   };
 }
 
-function find<Stage>(
+function bindStep<World>(
   name: string,
   {text, type, argument}: PickleStep,
-  steps: ReadonlyArray<Step<Stage>>,
+  steps: ReadonlyArray<Step<World>>,
 ) {
   if (argument !== undefined) {
     throw new Error(`${name}: no step takes the table or text of "${text}"`);
   }
   const kind = type === PickleStepType.OUTCOME ? 'check' : 'action';
-  const found = steps.flatMap(step => {
+  const matches = steps.flatMap(step => {
     const args = step.kind === kind ? step.match(text) : undefined;
     return args === undefined ? [] : [{step, args, text}];
   });
-  if (found.length === 0) throw new Error(`${name}: unknown ${kind} "${text}"`);
-  if (found.length > 1) {
-    const patterns = found.map(({step}) => step.pattern).join('; ');
+  if (matches.length === 0)
+    throw new Error(`${name}: unknown ${kind} "${text}"`);
+  if (matches.length > 1) {
+    const patterns = matches.map(({step}) => step.pattern).join('; ');
     throw new Error(`${name}: "${text}" is ambiguous: ${patterns}`);
   }
-  return found[0]!;
+  return matches[0]!;
 }
 
-/** A column that no step names would look tested and change nothing. */
-function refuseUnusedColumns(file: string, document: GherkinDocument): void {
+/** Rejects columns of examples that no step uses, since they test nothing. */
+function rejectUnusedColumns(file: string, document: GherkinDocument): void {
   for (const {scenario} of document.feature?.children ?? []) {
     if (scenario === undefined) continue;
     const text = scenario.steps.map(step => step.text).join('\n');
--- a/scenarios/step.ts
+++ b/scenarios/step.ts
@@ -1,51 +1,52 @@
-/** Step definitions: a text with typed places, and what it does to a stage. */
+/** Step definitions: a pattern with typed placeholders, and an action on a world. */
 
-/** A step's arguments, read off its pattern: `{number}` or `{word}`. */
+/** Argument types of a step, inferred from `{number}` and `{word}` in its pattern. */
 export type Arguments<Pattern extends string> =
   Pattern extends `${string}{${infer Kind}}${infer Rest}`
     ? [Kind extends 'number' ? number : string, ...Arguments<Rest>]
     : [];
 
-/** Actions stand under Given and When, checks under Then. */
+/** An action is used under Given and When, a check under Then. */
 export type StepKind = 'action' | 'check';
 
-/** One definition. */
-export interface Step<Stage> {
+/** One step definition. */
+export interface Step<World> {
   readonly kind: StepKind;
   readonly pattern: string;
-  /** The arguments of a step that it matches; undefined when it does not. */
+  /** The arguments in a step's text; undefined when the pattern does not match. */
   match(text: string): Array<string | number> | undefined;
-  run(stage: Stage, args: Array<string | number>): Promise<void> | void;
+  run(world: World, args: Array<string | number>): Promise<void> | void;
 }
 
-/** Defines steps for one kind of stage. */
-export interface Steps<Stage> {
+/** Step definitions for one kind of world: the state that steps share. */
+export interface Steps<World> {
   action<Pattern extends string>(
     pattern: Pattern,
-    run: (stage: Stage, ...args: Arguments<Pattern>) => Promise<void> | void,
+    run: (world: World, ...args: Arguments<Pattern>) => Promise<void> | void,
   ): void;
   check<Pattern extends string>(
     pattern: Pattern,
-    run: (stage: Stage, ...args: Arguments<Pattern>) => Promise<void> | void,
+    run: (world: World, ...args: Arguments<Pattern>) => Promise<void> | void,
   ): void;
-  readonly all: ReadonlyArray<Step<Stage>>;
+  readonly all: ReadonlyArray<Step<World>>;
 }
 
-const places: Readonly<Record<string, string>> = {
+const placeholders: Readonly<Record<string, string>> = {
   word: '([A-Za-z0-9-]+)',
   number: '(\\d+)',
 };
 
-/** Creates an empty list of steps. */
-export function createSteps<Stage>(): Steps<Stage> {
-  const all: Array<Step<Stage>> = [];
+/** Creates an empty list of step definitions. */
+export function createSteps<World>(): Steps<World> {
+  const all: Array<Step<World>> = [];
 
-  function add(kind: StepKind, pattern: string, run: Step<Stage>['run']): void {
+  function add(kind: StepKind, pattern: string, run: Step<World>['run']): void {
     const kinds = [...pattern.matchAll(/\{(\w+)\}/g)].map(match => match[1]!);
     const source = pattern.replace(/\{(\w+)\}/g, (_, name: string) => {
-      const place = places[name];
-      if (place === undefined) throw new Error(`${pattern}: no place ${name}`);
-      return place;
+      const placeholder = placeholders[name];
+      if (placeholder === undefined)
+        throw new Error(`${pattern}: unknown placeholder ${name}`);
+      return placeholder;
     });
     const expression = new RegExp(`^${source}$`);
     all.push({
@@ -53,9 +54,9 @@
       pattern,
       run,
       match(text) {
-        const found = expression.exec(text)?.slice(1);
-        return found?.map((value, at) =>
-          kinds[at] === 'number' ? Number(value) : value,
+        const groups = expression.exec(text)?.slice(1);
+        return groups?.map((value, index) =>
+          kinds[index] === 'number' ? Number(value) : value,
         );
       },
     });
@@ -64,12 +65,12 @@
   return {
     all,
     action: (pattern, run) =>
-      add('action', pattern, (stage, args) =>
-        run(stage, ...(args as Arguments<typeof pattern>)),
+      add('action', pattern, (world, args) =>
+        run(world, ...(args as Arguments<typeof pattern>)),
       ),
     check: (pattern, run) =>
-      add('check', pattern, (stage, args) =>
-        run(stage, ...(args as Arguments<typeof pattern>)),
+      add('check', pattern, (world, args) =>
+        run(world, ...(args as Arguments<typeof pattern>)),
       ),
   };
 }
--- a/scenarios/steps/control.ts
+++ b/scenarios/steps/control.ts
@@ -7,126 +7,132 @@
 export const controlSteps = createSteps<Cluster>();
 const {action, check} = controlSteps;
 
-const statusOf = (stage: Cluster, name: string) =>
-  stage.control(name).runningParts()!.consensus.status();
+const statusOf = (cluster: Cluster, name: string) =>
+  cluster.control(name).life()!.consensus.status();
 
-async function startAgain(stage: Cluster, vm: ControlVm): Promise<void> {
+async function restart(cluster: Cluster, vm: ControlVm): Promise<void> {
   const starting = vm.start();
-  await stage.until('a start', () => vm.runningParts() !== undefined);
+  await cluster.until('the start of a process', () => vm.life() !== undefined);
   await starting;
 }
 
-/** Whether a VM votes and has applied all that the leader has. */
-function isWhole(stage: Cluster, name: string): boolean {
-  const leader = stage.leader();
-  const life = stage.control(name).runningParts();
+/** Whether a VM is a voter and has applied everything that the leader has. */
+function isUpToDate(cluster: Cluster, name: string): boolean {
+  const leader = cluster.leader();
+  const life = cluster.control(name).life();
   if (leader === undefined || life === undefined) return false;
-  const {voters, commitIndex} = statusOf(stage, leader);
-  const own = stage.control(name).name;
-  if (!voters.some(voter => voter.name === own)) return false;
-  const {machine} = stage.control(leader).runningParts()!;
-  const isSame = life.machine.digest() === machine.digest();
-  return isSame && life.consensus.status().commitIndex >= commitIndex;
+  const {voters, commitIndex} = statusOf(cluster, leader);
+  const memberName = cluster.control(name).name;
+  if (!voters.some(voter => voter.name === memberName)) return false;
+  const {machine} = cluster.control(leader).life()!;
+  const hasSameState = life.machine.digest() === machine.digest();
+  return hasSameState && life.consensus.status().commitIndex >= commitIndex;
 }
 
-action('safeguard {word} is off', (stage, safeguard) => {
-  assert.equal(stage.controls.size, 0, 'switch safeguards off first');
-  stage.disabledSafeguards.add(safeguard);
+action('safeguard {word} is off', (cluster, safeguard) => {
+  assert.equal(
+    cluster.controls.size,
+    0,
+    'safeguards must be switched off before control VMs start',
+  );
+  cluster.disabledSafeguards.add(safeguard);
 });
 
-action('control VMs alpha, beta and gamma, led by alpha', stage =>
-  stage.startControls(),
+action('control VMs alpha, beta and gamma, led by alpha', cluster =>
+  cluster.startControls(),
 );
 
-action('{number} seconds pass', (stage, seconds) =>
-  stage.timers.advanceAsync(seconds * 1000),
+action('{number} seconds pass', (cluster, seconds) =>
+  cluster.timers.advanceAsync(seconds * 1000),
 );
 
-action('{word} is cut off', (stage, name) => stage.cutOff(name));
+action('{word} is cut off', (cluster, name) => cluster.cutOff(name));
 
-action('the network heals but for {word}', (stage, name) => {
-  stage.heal();
-  stage.cutOff(name);
+action('the network heals except for {word}', (cluster, name) => {
+  cluster.heal();
+  cluster.cutOff(name);
 });
 
 action(
   '{word} loses its disk while {word} is cut off',
-  async (stage, ...args) => {
+  async (cluster, ...args) => {
     const [name, other] = args;
-    stage.cutOff(other);
-    const vm = stage.control(name);
+    cluster.cutOff(other);
+    const vm = cluster.control(name);
     vm.kill();
     vm.loseDisk();
-    await startAgain(stage, vm);
+    await restart(cluster, vm);
   },
 );
 
-action('the network heals', stage => stage.heal());
+action('the network heals', cluster => cluster.heal());
 
-action('{word} dies', (stage, name) => stage.control(name).kill());
+action('{word} is killed', (cluster, name) => cluster.control(name).kill());
 
-action('{word} starts again', (stage, name) =>
-  startAgain(stage, stage.control(name)),
+action('{word} starts again', (cluster, name) =>
+  restart(cluster, cluster.control(name)),
 );
 
-action('{word} loses its disk and starts again', async (stage, name) => {
-  const vm = stage.control(name);
+action('{word} loses its disk and starts again', async (cluster, name) => {
+  const vm = cluster.control(name);
   vm.kill();
   vm.loseDisk();
-  await startAgain(stage, vm);
+  await restart(cluster, vm);
 });
 
-action('{word} loses its disk for good', (stage, name) => {
-  stage.control(name).kill();
-  stage.control(name).loseDisk();
+action('{word} loses its disk for good', (cluster, name) => {
+  cluster.control(name).kill();
+  cluster.control(name).loseDisk();
 });
 
-action('{word} is whole again', (stage, name) =>
-  stage.until(`${name} is whole`, () => isWhole(stage, name)),
+action('{word} is a voter with the current state', (cluster, name) =>
+  cluster.until(`${name} with the current state`, () =>
+    isUpToDate(cluster, name),
+  ),
 );
 
-action('the term is noted', stage => {
-  stage.notedValues.set('term', statusOf(stage, stage.leader()!).term);
+action('the term is noted', cluster => {
+  cluster.notedValues.set('term', statusOf(cluster, cluster.leader()!).term);
 });
 
-check('a leader is found', stage =>
-  stage.until('a leader', () => stage.leader() !== undefined),
+check('a leader is elected', cluster =>
+  cluster.until('a leader', () => cluster.leader() !== undefined),
 );
 
-check('nobody leads', stage => {
-  assert.equal(stage.leader(), undefined);
+check('there is no leader', cluster => {
+  assert.equal(cluster.leader(), undefined);
 });
 
-check('{word} knows that it leads nobody', (stage, name) => {
-  assert.notEqual(statusOf(stage, name).role, 'leader');
+check('{word} has stepped down', (cluster, name) => {
+  assert.notEqual(statusOf(cluster, name).role, 'leader');
 });
 
-check('{word} still takes itself for the leader', (stage, name) => {
-  assert.equal(statusOf(stage, name).role, 'leader');
+check('{word} still acts as leader', (cluster, name) => {
+  assert.equal(statusOf(cluster, name).role, 'leader');
 });
 
-check('{word} serves nothing as current', async (stage, name) => {
-  const {consensus} = stage.control(name).runningParts()!;
+check('{word} serves no linearizable read', async (cluster, name) => {
+  const {consensus} = cluster.control(name).life()!;
   let isServed = false;
-  let isOver = false;
+  let isSettled = false;
   void consensus.readBarrier().then(result => {
     isServed = result.ok;
-    isOver = true;
+    isSettled = true;
   });
-  await stage.until('the end of the barrier', () => isOver);
-  assert.ok(!isServed, 'the barrier was passed');
+  await cluster.until('the end of the read barrier', () => isSettled);
+  assert.ok(!isServed, 'the read barrier succeeded');
 });
 
-check('the term is as noted', stage => {
-  const {term} = statusOf(stage, stage.leader()!);
-  assert.equal(term, stage.notedValues.get('term'));
+check('the term is as noted', cluster => {
+  const {term} = statusOf(cluster, cluster.leader()!);
+  assert.equal(term, cluster.notedValues.get('term'));
 });
 
-check('the term has risen', stage => {
-  const {term} = statusOf(stage, stage.leader()!);
-  assert.ok(term > stage.notedValues.get('term')!, `the term is ${term}`);
+check('the term has risen', cluster => {
+  const {term} = statusOf(cluster, cluster.leader()!);
+  assert.ok(term > cluster.notedValues.get('term')!, `the term is ${term}`);
 });
 
-check('{word} holds the same state as the leader', (stage, name) =>
-  stage.until(`the same state at ${name}`, () => isWhole(stage, name)),
+check('{word} holds the same state as the leader', (cluster, name) =>
+  cluster.until(`the same state at ${name}`, () => isUpToDate(cluster, name)),
 );
--- a/scenarios/steps/endpoints.ts
+++ b/scenarios/steps/endpoints.ts
@@ -9,33 +9,37 @@
   readonly nodes: Map<string, FakeNode>;
 }
 
-/** Creates an empty stage for announcements. */
+/** Creates a cluster without homes and nodes. */
 export function createEndpointCluster(): EndpointCluster {
   return {mesh: createFakeMesh(), nodes: new Map()};
 }
 
-/** Steps of announcements between homes. */
+/** Steps that concern announcements between homes. */
 export const endpointSteps = createSteps<EndpointCluster>();
 const {action, check} = endpointSteps;
 
-action('announcements have no order', stage => {
-  assert.equal(stage.nodes.size, 0, 'switch safeguards off first');
+action('the order of announcements is not checked', cluster => {
+  assert.equal(
+    cluster.nodes.size,
+    0,
+    'safeguards must be switched off before nodes start',
+  );
   const safeguards = {order: false, comparison: false};
-  stage.mesh = createFakeMesh(0, {safeguards});
+  cluster.mesh = createFakeMesh(0, {safeguards});
 });
 
-action('homes {word} and {word}', async (stage, one, other) => {
-  await stage.mesh.home(one);
-  await stage.mesh.home(other);
-  await stage.mesh.advance(2000);
+action('homes {word} and {word}', async (cluster, one, other) => {
+  await cluster.mesh.home(one);
+  await cluster.mesh.home(other);
+  await cluster.mesh.advance(2000);
 });
 
-action('caller {word} at {word}', async (stage, name, home) => {
-  stage.nodes.set(name, await stage.mesh.join(home, name));
+action('caller {word} at {word}', async (cluster, name, home) => {
+  cluster.nodes.set(name, await cluster.mesh.join(home, name));
 });
 
-action('messages from {word} to {word} are held', (stage, from, to) => {
-  stage.mesh.network.decide((source, target, message) => {
+action('messages from {word} to {word} are held', (cluster, from, to) => {
+  cluster.mesh.network.decide((source, target, message) => {
     if (source !== from || target !== to) return 'deliver';
     const isRecords = JSON.stringify(message).includes('"kind":"records"');
     return isRecords ? 'hold' : 'deliver';
@@ -44,28 +48,28 @@
 
 action(
   'instance {word} announces itself at {word}',
-  async (stage, name, home) => {
-    stage.nodes.set(name, await stage.mesh.join(home, name, upstream()));
+  async (cluster, name, home) => {
+    cluster.nodes.set(name, await cluster.mesh.join(home, name, upstream()));
   },
 );
 
-action('instance {word} drains and leaves', async (stage, name) => {
-  const {announcer} = stage.nodes.get(name)!;
+action('instance {word} drains and leaves', async (cluster, name) => {
+  const {announcer} = cluster.nodes.get(name)!;
   announcer.announce(upstream({state: 'draining'}));
   announcer.withdraw();
-  await stage.mesh.advance(100);
+  await cluster.mesh.advance(100);
 });
 
-action('what was held arrives crossed and doubled', async stage => {
-  stage.mesh.network.decide(() => 'double');
-  stage.mesh.network.release(true);
-  await stage.mesh.advance(100);
+action('the held messages arrive twice and in reverse order', async cluster => {
+  cluster.mesh.network.decide(() => 'double');
+  cluster.mesh.network.release(true);
+  await cluster.mesh.advance(100);
 });
 
-check('{word} sees no instance', (stage, caller) => {
-  assert.deepEqual(stage.nodes.get(caller)!.view(), []);
+check('{word} sees no instance', (cluster, caller) => {
+  assert.deepEqual(cluster.nodes.get(caller)!.view(), []);
 });
 
-check('{word} sees {word} as {word}', (stage, caller, instance, state) => {
-  assert.deepEqual(stage.nodes.get(caller)!.view(), [`${instance}:${state}`]);
+check('{word} sees {word} as {word}', (cluster, caller, instance, state) => {
+  assert.deepEqual(cluster.nodes.get(caller)!.view(), [`${instance}:${state}`]);
 });
--- a/src/burn/command.ts
+++ b/src/burn/command.ts
@@ -90,7 +90,7 @@
   options: BurnOptions,
   {scrape, timers}: CommandContext,
 ): Promise<Result<Sampled>> {
-  const {samplesFile, nodes, samplingDuration: length, scrapeInterval: every, period} = options;
+  const {samplesFile, nodes, length, every, period} = options;
   const kept =
     samplesFile === undefined
       ? success(noSamples)
--- a/src/burn/options.ts
+++ b/src/burn/options.ts
@@ -20,8 +20,8 @@
   /** Where samples are kept between runs; absent to keep none. */
   readonly samplesFile: string | undefined;
   /** How long to sample; 0 for one scrape. */
-  readonly samplingDuration: number;
-  readonly scrapeInterval: number;
+  readonly length: number;
+  readonly every: number;
   readonly period: number;
   readonly json: boolean;
   /** Where to write the page. */
@@ -72,8 +72,8 @@
     token: environment['FOXBARROW_TOKEN'],
     objectivesFile: values.objectives,
     samplesFile: values.samples,
-    samplingDuration: values.for === undefined ? 0 : duration('--for', values.for),
-    scrapeInterval: duration('--every', values.every),
+    length: values.for === undefined ? 0 : duration('--for', values.for),
+    every: duration('--every', values.every),
     period: duration('--period', values.period),
     json: values.json,
     pageFile: values.html,
--- a/src/burn/scrape.ts
+++ b/src/burn/scrape.ts
@@ -36,7 +36,9 @@
 });
 
 /** Scrapes all nodes once. */
-export async function scrapeNodes(nodes: readonly Address[]): Promise<ScrapeResult> {
+export async function scrapeNodes(
+  nodes: readonly Address[],
+): Promise<ScrapeResult> {
   const scrapes: Scrape[] = [];
   const unreached: Address[] = [];
   const waiting = [...nodes];
--- a/src/trace/trace.ts
+++ b/src/trace/trace.ts
@@ -6,9 +6,9 @@
   /** Lines about the request, by time. */
   readonly decisions: readonly LogLine[];
   /** What processes came to believe around it, by time. */
-  readonly stateChanges: readonly LogLine[];
+  readonly beliefs: readonly LogLine[];
   /** Lines that say that others were left out, around it. */
-  readonly omissions: readonly LogLine[];
+  readonly gaps: readonly LogLine[];
 }
 
 // Beliefs come with heartbeats and leases, seconds apart; an ejection lasts 5 s.
@@ -16,11 +16,14 @@
 const after = 2_000;
 
 /** Collects what lines tell of one request. */
-export function traceRequest(request: string, lines: readonly LogLine[]): Trace {
+export function traceRequest(
+  request: string,
+  lines: readonly LogLine[],
+): Trace {
   const decisions = lines.filter(line => line.request === request);
   decisions.sort(byTime);
   const first = decisions[0];
-  if (first === undefined) return {decisions: [], stateChanges: [], omissions: []};
+  if (first === undefined) return {decisions: [], beliefs: [], gaps: []};
   const from = timeOf(first) - before;
   const to = timeOf(decisions[decisions.length - 1]!) + after;
   const around = lines
@@ -32,11 +35,11 @@
   instances.delete(undefined);
   return {
     decisions,
-    stateChanges: around.filter(line => {
+    beliefs: around.filter(line => {
       if (isGap(line) || !processes.has(line.process)) return false;
       return line.instance === undefined || instances.has(line.instance);
     }),
-    omissions: around.filter(line => isGap(line) && processes.has(line.process)),
+    gaps: around.filter(line => isGap(line) && processes.has(line.process)),
   };
 }
 
