--- a/scenarios/processes/claims.test.ts
+++ b/scenarios/processes/claims.test.ts
@@ -9,7 +9,8 @@
 import type {Reply} from '../../bench/demo/calls.js';
 import {claimCodes} from '../../src/claims/codes.js';
 
-const limit = 60_000;
+/** Milliseconds. */
+const waitTimeout = 60_000;
 
 async function start(
   t: ExecutionContext,
@@ -35,7 +36,7 @@
 }
 
 /** A node that is no keeper of crewbook. */
-function entryOf(deployment: Deployment): Place {
+function callerNode(deployment: Deployment): Place {
   return deployment.places.find(({service}) => service === 'drillvault')!;
 }
 
@@ -62,26 +63,26 @@
   return sum;
 }
 
-function issueUntil(
+function issueUntilAnswered(
   deployment: Deployment,
   key: string,
-  isLast: (reply: Reply) => boolean,
+  isExpected: (reply: Reply) => boolean,
 ): Promise<void> {
-  const entry = entryOf(deployment);
-  return until(`${key} ends so`, limit, async () => {
+  const entry = callerNode(deployment);
+  return until(`the expected answer to ${key}`, waitTimeout, async () => {
     const reply = await issue(entry, key);
-    return reply !== undefined && isLast(reply);
+    return reply !== undefined && isExpected(reply);
   });
 }
 
 test.serial(
-  'two keepers that die at once never let an issuance run again',
+  'the loss of two keepers at once never lets an issuance run again',
   async t => {
     // A certificate is issued. Two of the three nodes that keep its claim are
-    // killed and start again, empty. The resend is refused as keepers-lost; no
-    // new issuance runs either, until the retention time has passed.
+    // killed and restart without claims. The resend must be refused as
+    // keepers-lost, and no new issuance may run until the retention time is over.
     const deployment = await start(t, 3, 8000);
-    t.is((await issue(entryOf(deployment), 'cert-1'))?.status, 200);
+    t.is((await issue(callerNode(deployment), 'cert-1'))?.status, 200);
     const [one, two] = crewbooks(deployment);
     for (const place of [one!, two!]) {
       place.node.signal('SIGKILL');
@@ -89,30 +90,38 @@
       deployment.restart(place.settings.name);
     }
     const lost = claimCodes.keepersLost.number;
-    await issueUntil(deployment, 'cert-1', reply => reply.code === lost);
+    await issueUntilAnswered(
+      deployment,
+      'cert-1',
+      reply => reply.code === lost,
+    );
     t.is(await runsOf(deployment, 'cert-1'), 1);
-    await issueUntil(deployment, 'cert-2', reply => reply.status === 200);
+    await issueUntilAnswered(
+      deployment,
+      'cert-2',
+      reply => reply.status === 200,
+    );
     t.is(await runsOf(deployment, 'cert-2'), 1);
   },
 );
 
-test.serial('an upgrade that stops node after node loses no claim', async t => {
-  // A certificate is issued. All nodes of its service are stopped in a planned
-  // way and started again, each as soon as the one before is back. Every
-  // memory of the claim has begun anew; the resend still gets the answer.
+test.serial('a rolling restart of all nodes loses no claim', async t => {
+  // A certificate is issued. All nodes of its service are stopped gracefully and
+  // restarted, one after the other. Then no keeper is the process that granted
+  // the claim; the resend must still get the stored answer.
   const deployment = await start(t, 4, 900_000);
-  const first = await issue(entryOf(deployment), 'cert-3');
+  const first = await issue(callerNode(deployment), 'cert-3');
   t.is(first?.status, 200);
   for (const place of crewbooks(deployment)) {
     t.is(await place.node.stop(), 0);
     deployment.restart(place.settings.name);
-    await until('the node is back', limit, async () => {
+    await until('the restarted node serves', waitTimeout, async () => {
       const address = place.settings.callerAddress;
       const reply = await call(address, '/records/x').catch(() => undefined);
       return reply?.status === 200;
     });
   }
-  const resend = await issue(entryOf(deployment), 'cert-3');
+  const resend = await issue(callerNode(deployment), 'cert-3');
   t.is(resend?.status, 200, JSON.stringify(resend));
   t.true(resend!.body.equals(first!.body));
   t.is(await runsOf(deployment, 'cert-3'), 1);
--- a/scenarios/processes/control.test.ts
+++ b/scenarios/processes/control.test.ts
@@ -10,7 +10,8 @@
 import type {OperatorClient} from '../../src/operator/create-operator-client.js';
 import {putService} from './put-service.js';
 
-const limit = 60_000;
+/** Milliseconds. */
+const waitTimeout = 60_000;
 
 async function startControls(
   t: ExecutionContext,
@@ -21,7 +22,7 @@
   return deployment;
 }
 
-/** What an answer says of the change, whether or not it came before. */
+/** The fields of an answer that are equal for the first answer and a repeated one. */
 function answerOf(reply: Awaited<ReturnType<OperatorClient['change']>>) {
   if (!reply.ok) return undefined;
   const {code, message, version} = reply.value;
@@ -34,11 +35,11 @@
 }
 
 test.serial(
-  'an accepted change outlives the leader that accepted it',
+  'an accepted change survives the loss of the leader that accepted it',
   async t => {
-    // An operator issues changes one after the other; the leader is killed with
-    // no warning in their midst and started again later. Each change that was
-    // answered as accepted must be there, and each command ran once.
+    // An operator sends changes one after the other. The leader is killed during
+    // this and restarted later. Each change that was answered as accepted must be
+    // present, and each command must have been applied once.
     const deployment = await startControls(t);
     const leader = await findLeader(deployment);
     const client = connectOperator(deployment);
@@ -57,31 +58,35 @@
 
     const name = deployment.controlSettings[leader]!.name;
     deployment.restart(name);
-    await until('the killed process holds all again', limit, async () => {
-      const views = await client.control();
-      const digests = views.map(view => (view.ok ? view.value.digest : ''));
-      return digests[0] !== '' && new Set(digests).size === 1;
-    });
+    await until(
+      'the restarted process has the same state',
+      waitTimeout,
+      async () => {
+        const views = await client.control();
+        const digests = views.map(view => (view.ok ? view.value.digest : ''));
+        return digests[0] !== '' && new Set(digests).size === 1;
+      },
+    );
     await client.close();
     t.pass();
   },
 );
 
-/** Whether a control process votes and holds what the leader holds. */
-async function isWhole(
+/** Whether a control process is a voter and has the leader's state. */
+async function isUpToDate(
   client: OperatorClient,
   index: number,
 ): Promise<boolean> {
   const views = await client.control();
   const leader = views.find(view => view.ok && view.value.role === 'leader');
-  const own = views[index]!;
-  if (leader === undefined || !leader.ok || !own.ok) return false;
-  const {name, role} = own.value;
-  // The two views were taken one after the other; both must say that it votes.
+  const view = views[index]!;
+  if (leader === undefined || !leader.ok || !view.ok) return false;
+  const {name, role} = view.value;
+  // The two views are read one after the other; both must show it as a voter.
   if (role === 'learner') return false;
-  const votes = leader.value.members.some(member => member.name === name);
-  const learns = leader.value.learners.some(member => member.name === name);
-  return votes && !learns && own.value.digest === leader.value.digest;
+  const isVoter = leader.value.members.some(member => member.name === name);
+  const isLearner = leader.value.learners.some(member => member.name === name);
+  return isVoter && !isLearner && view.value.digest === leader.value.digest;
 }
 
 async function loseDisk(deployment: Deployment, index: number): Promise<void> {
@@ -93,11 +98,12 @@
 }
 
 test.serial(
-  'a second VM is lost right after the first was repaired',
+  'a second VM is lost right after the repair of the first',
   async t => {
-    // One VM dies with its disk and comes back empty; as soon as it is whole
-    // again a second VM dies with its disk for good. What was accepted before
-    // and between must be there, and the two that are left accept changes.
+    // One VM is lost with its disk and returns with an empty one. As soon as it
+    // is a voter with the current state, a second VM is lost with its disk for
+    // good. All accepted changes must be present, and the remaining two VMs must
+    // accept changes.
     const deployment = await startControls(t);
     await findLeader(deployment);
     const client = connectOperator(deployment);
@@ -109,7 +115,11 @@
     const between = await client.change(putService('between'));
     t.true(between.ok);
     deployment.restart(deployment.controlSettings[0]!.name);
-    await until('the repaired VM is whole', limit, () => isWhole(client, 0));
+    await until(
+      'the repaired VM votes with the current state',
+      waitTimeout,
+      () => isUpToDate(client, 0),
+    );
     await loseDisk(deployment, 1);
     const after = await client.change(putService('after'));
     t.true(after.ok && after.value.code === 1000);
@@ -119,41 +129,44 @@
   },
 );
 
-test.serial('a frozen leader wakes and serves nothing old', async t => {
-  // The leader's process is stopped for some seconds; the others elect and
-  // accept a change. At its return the old leader is asked alone and at once:
-  // it answers with the newer state or not at all, and no election follows.
-  // The long election timeout keeps a busy machine from electing by itself.
-  const deployment = await startControls(t, {electionTimeout: 2000});
-  const leader = await findLeader(deployment);
-  const others = [0, 1, 2].filter(index => index !== leader);
-  const client = connectOperator(deployment, others);
-  const frozen = deployment.controls[leader]!;
-  frozen.signal('SIGSTOP');
-  const reply = await client.change(putService('while-frozen'));
-  t.true(reply.ok && reply.value.code === 1000);
-  const before = await termOf(client);
-  frozen.signal('SIGCONT');
-  const woken = connectOperator(deployment, [leader]);
-  const names = await woken.items('service');
-  if (names.ok) {
-    t.deepEqual(
-      names.value.items.map(({value}) => value.name),
-      ['while-frozen'],
-    );
-  }
-  await until('the woken process follows', limit, async () => {
-    const [view] = await woken.control();
-    return view!.ok && view!.value.role === 'follower';
-  });
-  t.is(await termOf(client), before);
-  await client.close();
-  await woken.close();
-});
+test.serial(
+  'a suspended leader that resumes serves no stale state',
+  async t => {
+    // The leader's process is suspended for some seconds; the others elect a new
+    // leader and accept a change. When the old leader resumes it gets a query at
+    // once: it must answer with the newer state or not at all, and no election may
+    // follow. The long election timeout avoids elections caused by a busy machine.
+    const deployment = await startControls(t, {electionTimeout: 2000});
+    const leader = await findLeader(deployment);
+    const others = [0, 1, 2].filter(index => index !== leader);
+    const client = connectOperator(deployment, others);
+    const suspended = deployment.controls[leader]!;
+    suspended.signal('SIGSTOP');
+    const reply = await client.change(putService('while-frozen'));
+    t.true(reply.ok && reply.value.code === 1000);
+    const before = await termOf(client);
+    suspended.signal('SIGCONT');
+    const resumedClient = connectOperator(deployment, [leader]);
+    const names = await resumedClient.items('service');
+    if (names.ok) {
+      t.deepEqual(
+        names.value.items.map(({value}) => value.name),
+        ['while-frozen'],
+      );
+    }
+    await until('the resumed process is a follower', waitTimeout, async () => {
+      const [view] = await resumedClient.control();
+      return view!.ok && view!.value.role === 'follower';
+    });
+    t.is(await termOf(client), before);
+    await client.close();
+    await resumedClient.close();
+  },
+);
 
 async function termOf(client: OperatorClient): Promise<number> {
   let term = 0;
-  await until('a leader is seen', limit, async () => {
+  await until('a leader is reported', waitTimeout, async () => {
     const views = await client.control();
     const leader = views.find(view => view.ok && view.value.role === 'leader');
     if (leader?.ok) term = leader.value.term;
@@ -162,48 +175,55 @@
   return term;
 }
 
-test.serial('a command resent after a kill gets its first answer', async t => {
-  // The operator's command is under way when the leader dies, so its answer
-  // may be lost. The operator resends it under its id until it is answered,
-  // and once more later: same answer, and the change is in the history once.
-  const deployment = await startControls(t);
-  const leader = await findLeader(deployment);
-  const client = connectOperator(deployment);
-  const command = putService('once');
-  const sent = client.change(command);
-  deployment.controls[leader]!.signal('SIGKILL');
-  const first = await sent;
-  t.true(first.ok);
-  const again = await client.change(command);
-  t.deepEqual(answerOf(again), answerOf(first));
-  const history = await client.history(100);
-  t.is(history.ok ? history.value.changes.length : 0, 1);
-  await client.close();
-});
+test.serial(
+  'a command resent after the loss of the leader gets its first answer',
+  async t => {
+    // The leader is killed while it processes an operator's command, so the answer
+    // may be lost. The operator resends the command with the same id until it is
+    // answered, and once more later. Both answers must be equal, and the history
+    // must contain the change once.
+    const deployment = await startControls(t);
+    const leader = await findLeader(deployment);
+    const client = connectOperator(deployment);
+    const command = putService('once');
+    const sent = client.change(command);
+    deployment.controls[leader]!.signal('SIGKILL');
+    const first = await sent;
+    t.true(first.ok);
+    const again = await client.change(command);
+    t.deepEqual(answerOf(again), answerOf(first));
+    const history = await client.history(100);
+    t.is(history.ok ? history.value.changes.length : 0, 1);
+    await client.close();
+  },
+);
 
-test.serial('operators race under one expected version', async t => {
-  // Two operators saw the same version and send different changes to
-  // different processes at once. One is accepted; the other is told the
-  // winner's version, and nothing of it is in force.
-  const deployment = await startControls(t);
-  await findLeader(deployment);
-  const one = connectOperator(deployment, [0]);
-  const two = connectOperator(deployment, [1]);
-  const race = (operator: string, name: string): Command => ({
-    ...putService(name),
-    operator,
-    expectedVersion: 0,
-  });
-  const replies = await Promise.all([
-    one.change(race('ann', 'from-ann')),
-    two.change(race('bob', 'from-bob')),
-  ]);
-  const answers = replies.map(reply => (reply.ok ? reply.value : undefined));
-  const winners = answers.filter(answer => answer?.code === 1000);
-  const losers = answers.filter(answer => answer?.code !== 1000);
-  t.is(winners.length, 1);
-  t.is(losers[0]?.version, winners[0]?.version);
-  t.is((await namesOf(one)).length, 1);
-  await one.close();
-  await two.close();
-});
+test.serial(
+  'of two concurrent changes that expect the same version one is accepted',
+  async t => {
+    // Two operators read the same version and send different changes to different
+    // processes at the same time. One change is accepted. The answer to the other
+    // gives the winner's version, and no part of that change is applied.
+    const deployment = await startControls(t);
+    await findLeader(deployment);
+    const one = connectOperator(deployment, [0]);
+    const two = connectOperator(deployment, [1]);
+    const race = (operator: string, name: string): Command => ({
+      ...putService(name),
+      operator,
+      expectedVersion: 0,
+    });
+    const replies = await Promise.all([
+      one.change(race('ann', 'from-ann')),
+      two.change(race('bob', 'from-bob')),
+    ]);
+    const answers = replies.map(reply => (reply.ok ? reply.value : undefined));
+    const winners = answers.filter(answer => answer?.code === 1000);
+    const losers = answers.filter(answer => answer?.code !== 1000);
+    t.is(winners.length, 1);
+    t.is(losers[0]?.version, winners[0]?.version);
+    t.is((await namesOf(one)).length, 1);
+    await one.close();
+    await two.close();
+  },
+);
--- a/scenarios/processes/crashing-request.test.ts
+++ b/scenarios/processes/crashing-request.test.ts
@@ -10,19 +10,20 @@
 import {call} from '../../bench/demo/calls.js';
 import type {CallOptions, Reply} from '../../bench/demo/calls.js';
 
-const limit = 60_000;
+/** Milliseconds. */
+const waitTimeout = 60_000;
 const crash = 'crashing';
 
-/** Milliseconds from the third crash until every node knows the request. */
-const knownWithin = 3_000;
-/** Instances that one request may end after that. */
-const furtherEnds = 3;
+/** Milliseconds until all nodes have the quarantine, from the third crash on. */
+const quarantineDelay = 3_000;
+/** Crashes that the request may cause after that. */
+const maxFurtherCrashes = 3;
 const repeats = 12;
 
-/** The upstreams of crewbook, each started again when it has ended. */
+/** The upstreams of crewbook; each is restarted when it exits. */
 interface Upstreams {
-  /** Ends so far. */
-  ends(): number;
+  /** Number of exits so far. */
+  exits(): number;
   running(): readonly Program[];
 }
 
@@ -30,31 +31,31 @@
   return deployment.places.filter(({service}) => service === 'crewbook');
 }
 
-/** Starts each upstream of crewbook again when it has ended, as its VM would. */
-function keepUp(deployment: Deployment): Upstreams {
+/** Restarts each upstream of crewbook when it exits, as its VM would. */
+function superviseUpstreams(deployment: Deployment): Upstreams {
   const running = new Map<string, Program>();
-  let ends = 0;
-  let isOver = false;
+  let exits = 0;
+  let isStopped = false;
 
-  async function follow(name: string, upstream: Program): Promise<void> {
+  async function supervise(name: string, upstream: Program): Promise<void> {
     running.set(name, upstream);
     await upstream.ended();
-    if (isOver) return;
-    ends++;
-    void follow(name, deployment.restart(`upstream of ${name}`));
+    if (isStopped) return;
+    exits++;
+    void supervise(name, deployment.restart(`upstream of ${name}`));
   }
 
   for (const {upstream, settings} of crewbooks(deployment)) {
-    void follow(settings.name, upstream);
+    void supervise(settings.name, upstream);
   }
   const {end} = deployment;
   Object.assign(deployment, {
     end: () => {
-      isOver = true;
+      isStopped = true;
       return end();
     },
   });
-  return {ends: () => ends, running: () => [...running.values()]};
+  return {exits: () => exits, running: () => [...running.values()]};
 }
 
 async function start(t: ExecutionContext, work: number) {
@@ -67,23 +68,27 @@
     work,
     crash,
   });
-  const upstreams = keepUp(deployment);
+  const upstreams = superviseUpstreams(deployment);
   t.teardown(() => deployment.end());
   await setUp(deployment, 'examples/agency/setup.fox');
   return {deployment, upstreams};
 }
 
-/** Sends a call through one node after the other. */
-function createSender(deployment: Deployment, path: string, sent: CallOptions) {
+/** Sends the same call through the nodes in turn. */
+function createSender(
+  deployment: Deployment,
+  path: string,
+  callOptions: CallOptions,
+) {
   let turn = 0;
   return (): Promise<Reply> => {
     const {places} = deployment;
     const {callerAddress} = places[turn++ % places.length]!.settings;
-    return call(callerAddress, path, sent);
+    return call(callerAddress, path, callOptions);
   };
 }
 
-async function areAllBack(deployment: Deployment): Promise<boolean> {
+async function areAllServing(deployment: Deployment): Promise<boolean> {
   for (const {settings} of crewbooks(deployment)) {
     const reply = await call(settings.callerAddress, '/records/well');
     if (reply.status !== 200) return false;
@@ -91,51 +96,55 @@
   return true;
 }
 
-/** Ends three instances or more, and waits until every node knows of it. */
-async function endThree(
+/** Crashes at least three instances and waits until all nodes have the quarantine. */
+async function crashThree(
   deployment: Deployment,
   upstreams: Upstreams,
   send: () => Promise<Reply>,
 ): Promise<void> {
-  while (upstreams.ends() < 3) {
+  while (upstreams.exits() < 3) {
     await send();
-    await until('instances are back', limit, () => areAllBack(deployment));
+    await until('all instances serve again', waitTimeout, () =>
+      areAllServing(deployment),
+    );
   }
-  await pause(knownWithin);
+  await pause(quarantineDelay);
 }
 
-async function checkRepeats(
+async function checkFurtherCrashes(
   t: ExecutionContext,
   path: string,
-  sent: CallOptions,
+  callOptions: CallOptions,
 ): Promise<void> {
   const {deployment, upstreams} = await start(t, 5);
-  const send = createSender(deployment, path, sent);
-  await endThree(deployment, upstreams, send);
-  const before = upstreams.ends();
+  const send = createSender(deployment, path, callOptions);
+  await crashThree(deployment, upstreams, send);
+  const before = upstreams.exits();
   for (let turn = 0; turn < repeats; turn++) {
     t.true((await send()).status >= 400);
-    await until('others are served', limit, () => areAllBack(deployment));
+    await until('other requests are served', waitTimeout, () =>
+      areAllServing(deployment),
+    );
   }
-  const further = upstreams.ends() - before;
-  t.true(further <= furtherEnds, `${further} more instances ended`);
+  const further = upstreams.exits() - before;
+  t.true(further <= maxFurtherCrashes, `${further} further crashes`);
 }
 
 test.serial(
-  'a lookup that ends its instances is not sent on for ever',
-  async t => checkRepeats(t, `/records/${crash}`, {}),
+  'a lookup that crashes its instances is not forwarded without limit',
+  async t => checkFurtherCrashes(t, `/records/${crash}`, {}),
 );
 
 test.serial(
-  'an issuance that ends its instances is not sent on for ever',
+  'an issuance that crashes its instances is not forwarded without limit',
   async t =>
-    checkRepeats(t, '/certificates', {
+    checkFurtherCrashes(t, '/certificates', {
       method: 'POST',
       body: Buffer.from(`{"crew": "${crash}"}`),
     }),
 );
 
-/** Work under way at an upstream; none at one that is not back yet. */
+/** Requests in progress at an upstream; 0 while it restarts. */
 async function runningAt(address: string): Promise<number> {
   try {
     const answer = await request(`http://${address}/load`);
@@ -148,7 +157,7 @@
   }
 }
 
-/** Whether an upstream of crewbook has work under way. */
+/** Whether an upstream of crewbook processes a request. */
 async function isBusy(deployment: Deployment): Promise<boolean> {
   for (const {upstreamAddress} of crewbooks(deployment)) {
     if ((await runningAt(upstreamAddress)) > 0) return true;
@@ -156,19 +165,30 @@
   return false;
 }
 
-test.serial('instances that crash by themselves blame no lookup', async t => {
-  // Three instances are killed together beside a lookup that is under way.
-  const {deployment, upstreams} = await start(t, 200);
-  const send = createSender(deployment, '/records/slow', {});
-  for (let round = 1; round <= 4; round++) {
-    const lookups = Array.from({length: 4}, send);
-    await until('a lookup is under way', limit, () => isBusy(deployment));
-    for (const upstream of upstreams.running().slice(0, 3)) {
-      upstream.signal('SIGKILL');
+test.serial(
+  'crashes that a lookup did not cause put no lookup in quarantine',
+  async t => {
+    // Three instances are killed at the same time while a lookup is in progress.
+    const {deployment, upstreams} = await start(t, 200);
+    const send = createSender(deployment, '/records/slow', {});
+    for (let round = 1; round <= 4; round++) {
+      const lookups = Array.from({length: 4}, send);
+      await until('a lookup is in progress', waitTimeout, () =>
+        isBusy(deployment),
+      );
+      for (const upstream of upstreams.running().slice(0, 3)) {
+        upstream.signal('SIGKILL');
+      }
+      await Promise.allSettled(lookups);
+      await until(
+        'the killed instances exit',
+        waitTimeout,
+        () => upstreams.exits() >= 3 * round,
+      );
+      await until('all instances serve again', waitTimeout, () =>
+        areAllServing(deployment),
+      );
+      t.is((await send()).status, 200);
     }
-    await Promise.allSettled(lookups);
-    await until('they end', limit, () => upstreams.ends() >= 3 * round);
-    await until('instances are back', limit, () => areAllBack(deployment));
-    t.is((await send()).status, 200);
-  }
-});
+  },
+);
--- a/scenarios/processes/distribution.test.ts
+++ b/scenarios/processes/distribution.test.ts
@@ -9,7 +9,8 @@
 import type {Reply} from '../../bench/demo/calls.js';
 import type {Edit} from '../../src/configuration/messages.js';
 
-const limit = 60_000;
+/** Milliseconds. */
+const waitTimeout = 60_000;
 const setUpFile = 'examples/agency/setup.fox';
 
 async function start(t: ExecutionContext): Promise<Deployment> {
@@ -51,27 +52,32 @@
   return call(address, '/records/crew-1').catch(() => undefined);
 }
 
-/** Waits until a node has no route for lookups any more. */
+/** Waits until a node no longer has the route for lookups. */
 function awaitRemoval(place: Place): Promise<void> {
-  return until(`${place.settings.name} lacks the route`, limit, async () => {
-    const reply = await lookUp(place);
-    return reply?.code === 5001;
-  });
+  return until(
+    `${place.settings.name} without the route`,
+    waitTimeout,
+    async () => {
+      const reply = await lookUp(place);
+      return reply?.code === 5001;
+    },
+  );
 }
 
-/** The code of requests that a node without a proved state refuses. */
+/** Result code of a node that has no configuration that is proved fresh. */
 const noConfiguration = 5000;
 
-/** Looks at a node that must not serve; each look is 200 ms after the last. */
-const looks = 30;
+/** Checks of a node that must not serve, 200 ms apart. */
+const checks = 30;
 
 test.serial(
-  'a node restarted beside an isolated control process serves nothing old',
+  'a node that restarts with only an isolated control process serves no stale state',
   async t => {
-    // Operators remove a route while one control process is frozen. Then the
-    // others are frozen and it wakes: it knows the old version only. A node that
-    // is started now reaches no other; served from there, a caller would be sent
-    // along the removed route. It refuses as not run until a quorum is back.
+    // Operators remove a route while one control process is suspended. Then the
+    // others are suspended and it resumes, with the old version. A node that
+    // starts now reaches only this process; if it served that version, it would
+    // use the removed route. It must refuse requests as not run until a quorum
+    // is back.
     const deployment = await start(t);
     const [stale, ...others] = deployment.controls;
     const place = deployment.places[0]!;
@@ -84,10 +90,10 @@
     await place.node.ended();
     stale!.signal('SIGCONT');
     deployment.restart(place.settings.name);
-    await until('the restarted node answers', limit, async () => {
+    await until('the restarted node answers', waitTimeout, async () => {
       return (await lookUp(place)) !== undefined;
     });
-    for (let look = 0; look < looks; look++) {
+    for (let check = 0; check < checks; check++) {
       const reply = await lookUp(place);
       t.is(reply?.code, noConfiguration);
       t.is(reply?.effect, 'not-run');
@@ -113,19 +119,24 @@
 };
 
 function awaitReturn(place: Place): Promise<void> {
-  return until(`${place.settings.name} has the route`, limit, async () => {
-    const reply = await lookUp(place);
-    return reply?.status === 200;
-  });
+  return until(
+    `${place.settings.name} with the route`,
+    waitTimeout,
+    async () => {
+      const reply = await lookUp(place);
+      return reply?.status === 200;
+    },
+  );
 }
 
-test.serial('a frozen home loses its nodes to another', async t => {
-  // A control VM hangs: its links stay open and silent, no FIN comes. Its nodes
-  // would keep the old version; they leave it and get the change elsewhere. Each
-  // control process has its turn, so each node's home has.
+test.serial('nodes leave a suspended home for another one', async t => {
+  // A control VM hangs: its connections stay open, but nothing arrives on them,
+  // not even a FIN. Its nodes must change to another home, or they would keep
+  // the old version. Each control process is suspended once, and therefore the
+  // home of each node.
   const deployment = await start(t);
-  for (const [frozen, control] of deployment.controls.entries()) {
-    const others = [0, 1, 2].filter(index => index !== frozen);
+  for (const [suspended, control] of deployment.controls.entries()) {
+    const others = [0, 1, 2].filter(index => index !== suspended);
     control.signal('SIGSTOP');
     await change(deployment, others, removeRecords);
     await Promise.all(deployment.places.map(awaitRemoval));
--- a/scenarios/processes/endpoints.test.ts
+++ b/scenarios/processes/endpoints.test.ts
@@ -7,7 +7,8 @@
 import {until} from '../../bench/deployment/until.js';
 import {call} from '../../bench/demo/calls.js';
 
-const limit = 60_000;
+/** Milliseconds. */
+const waitTimeout = 60_000;
 const lookups = 40;
 
 async function start(t: ExecutionContext): Promise<Deployment> {
@@ -20,10 +21,10 @@
   });
   t.teardown(deployment.end);
   await setUp(deployment, 'examples/agency/setup.fox');
-  // The caller's own failure domain goes first: that of the first crewbook.
-  await until('the first crewbook takes work', limit, async () => {
+  // The caller's node prefers its failure domain, that of the first crewbook.
+  await until('work at the first crewbook', waitTimeout, async () => {
     await lookUp(deployment, 5);
-    return (await begunAt(crewbooks(deployment)[0]!)) > 0;
+    return (await countBegun(crewbooks(deployment)[0]!)) > 0;
   });
   return deployment;
 }
@@ -32,21 +33,21 @@
   return deployment.places.filter(({service}) => service === 'crewbook');
 }
 
-function caller(deployment: Deployment): Place {
+function callerNode(deployment: Deployment): Place {
   return deployment.places.find(({service}) => service === 'drillvault')!;
 }
 
-async function begunAt(place: Place): Promise<number> {
+async function countBegun(place: Place): Promise<number> {
   const answer = await request(`http://${place.upstreamAddress}/counts`);
   return ((await answer.body.json()) as {begun: number}).begun;
 }
 
-/** Statuses of some lookups through one node, one after the other. */
+/** Sends lookups through one node, one after the other; gives the distinct statuses. */
 async function lookUp(
   deployment: Deployment,
   count: number,
 ): Promise<number[]> {
-  const {callerAddress} = caller(deployment).settings;
+  const {callerAddress} = callerNode(deployment).settings;
   const statuses = new Set<number>();
   for (let number = 0; number < count; number++) {
     statuses.add((await call(callerAddress, `/records/${number}`)).status);
@@ -57,9 +58,9 @@
 test.serial(
   'a drained instance takes no new work once the drain is in force',
   async t => {
-    // An operator drains one of three instances under a stream of lookups. No
-    // lookup fails; once the drain is in force no work begins there. Undrained,
-    // it takes work again.
+    // An operator drains one of three instances during continuous lookups. No
+    // lookup may fail, and no work may begin at the instance once the drain is in
+    // force. After the drain is removed the instance must get work again.
     const deployment = await start(t);
     const [drained] = crewbooks(deployment);
     const {name} = drained!.settings;
@@ -69,57 +70,62 @@
     t.deepEqual(await lookUp(deployment, lookups), [200]);
     const waited = await deployment.operate('wait', version, 'within', '60s');
     t.is(waited.code, 0);
-    const before = await begunAt(drained!);
+    const before = await countBegun(drained!);
     t.deepEqual(await lookUp(deployment, lookups), [200]);
-    t.is(await begunAt(drained!), before);
+    t.is(await countBegun(drained!), before);
 
     await deployment.operate('undrain', name);
-    await until('it takes work again', limit, async () => {
+    await until('work at the instance again', waitTimeout, async () => {
       t.deepEqual(await lookUp(deployment, 10), [200]);
-      return (await begunAt(drained!)) > before;
+      return (await countBegun(drained!)) > before;
     });
   },
 );
 
-test.serial('an upstream that leaves by itself loses no caller', async t => {
-  // An upstream announces that it drains, ends its work, takes itself back and
-  // exits, under a stream of lookups. No lookup fails. Started again on the
-  // same address it is a new life and takes work.
-  const deployment = await start(t);
-  const [leaving] = crewbooks(deployment);
-  const ending = leaving!.upstream.stop();
-  let ended = false;
-  void ending.then(() => (ended = true));
-  while (!ended) t.deepEqual(await lookUp(deployment, 5), [200]);
-  t.is(await ending, 0);
-  t.deepEqual(await lookUp(deployment, lookups), [200]);
-  const again = deployment.restart(`upstream of ${leaving!.settings.name}`);
-  await until('the new life takes work', limit, async () => {
-    t.deepEqual(await lookUp(deployment, 10), [200]);
-    return (await begunAt(leaving!).catch(() => 0)) > 0;
-  });
-  t.is(await again.stop(), 0);
-});
+test.serial(
+  'an upstream that drains itself and leaves causes no failed lookup',
+  async t => {
+    // An upstream announces that it drains, finishes its work, withdraws its
+    // announcement and exits, during continuous lookups. No lookup may fail. When
+    // it restarts at the same address, it is a new incarnation and must get work.
+    const deployment = await start(t);
+    const [leaving] = crewbooks(deployment);
+    const ending = leaving!.upstream.stop();
+    let isEnded = false;
+    void ending.then(() => (isEnded = true));
+    while (!isEnded) t.deepEqual(await lookUp(deployment, 5), [200]);
+    t.is(await ending, 0);
+    t.deepEqual(await lookUp(deployment, lookups), [200]);
+    const restarted = deployment.restart(
+      `upstream of ${leaving!.settings.name}`,
+    );
+    await until('work at the new incarnation', waitTimeout, async () => {
+      t.deepEqual(await lookUp(deployment, 10), [200]);
+      return (await countBegun(leaving!).catch(() => 0)) > 0;
+    });
+    t.is(await restarted.stop(), 0);
+  },
+);
 
-test.serial('a VM that dies takes no lookup with it', async t => {
-  // A VM dies with its node and its upstream, without a word, under a stream
-  // of lookups. What it was working on is looked up again elsewhere; from the
-  // caller's side nothing fails.
+test.serial('the loss of a VM causes no failed lookup', async t => {
+  // The node and the upstream of a VM are killed during continuous lookups.
+  // Interrupted lookups are retried at other instances; callers must see no
+  // failure.
   const deployment = await start(t);
-  const [dying] = crewbooks(deployment);
-  dying!.node.signal('SIGKILL');
-  dying!.upstream.signal('SIGKILL');
+  const [killed] = crewbooks(deployment);
+  killed!.node.signal('SIGKILL');
+  killed!.upstream.signal('SIGKILL');
   for (let round = 0; round < 5; round++) {
     t.deepEqual(await lookUp(deployment, lookups), [200]);
   }
 });
 
 test.serial(
-  'a dead upstream under a live node is found by its connections',
+  'a node detects the loss of its upstream by failed connections',
   async t => {
-    // The upstream dies, the node beside it lives on and still announces it for
-    // a while. Lookups that reach its gate are refused as not run and go
-    // elsewhere; callers see nothing of it.
+    // The upstream is killed; the node beside it still runs and announces it for
+    // some time. Lookups that reach its gate are refused as not run and retried
+    // at other instances; callers must see no failure.
     const deployment = await start(t);
     const [place] = crewbooks(deployment);
     place!.upstream.signal('SIGKILL');
@@ -130,11 +136,12 @@
 );
 
 test.serial(
-  'a node obeys a drain of its own upstream whatever it calls',
+  'a node applies a drain of its upstream whatever services it calls',
   async t => {
-    // A node's callers reach crewbook only; its own upstream is a drillvault. An
-    // operator drains that. Did the node follow only what it calls, its gate
-    // would not hear of the drain and go on taking work from late entries.
+    // The callers of a node use crewbook only, and its upstream is a drillvault.
+    // An operator drains that instance. If the node subscribed only to services
+    // that it calls, its gate would miss the drain and still admit work from
+    // entries with an older version.
     const deployment = await startSmall({
       controls: 3,
       services: [
@@ -145,15 +152,15 @@
     });
     t.teardown(deployment.end);
     await setUp(deployment, 'examples/agency/setup.fox');
-    const {name, callerAddress} = caller(deployment).settings;
-    const check = () => call(callerAddress, '/gate-checks/crew-1');
-    await until('it serves its own', limit, async () => {
-      return (await check()).status === 200;
+    const {name, callerAddress} = callerNode(deployment).settings;
+    const checkGate = () => call(callerAddress, '/gate-checks/crew-1');
+    await until('the node serves its upstream', waitTimeout, async () => {
+      return (await checkGate()).status === 200;
     });
     const done = await deployment.operate('drain', name, 'of', 'drillvault');
     t.is(done.code, 0, done.errors);
-    await until('it is drained', limit, async () => {
-      return (await check()).effect === 'not-run';
+    await until('the gate refuses work', waitTimeout, async () => {
+      return (await checkGate()).effect === 'not-run';
     });
   },
 );
--- a/scenarios/processes/mixed-faults.test.ts
+++ b/scenarios/processes/mixed-faults.test.ts
@@ -14,9 +14,10 @@
 import {createRandom} from '../../src/random/random.js';
 import {createTimers} from '../../src/time/timers.js';
 
-const limit = 60_000;
+/** Milliseconds. */
+const waitTimeout = 60_000;
 
-/** Runs of all keys, over all stand-ins; none of them is killed. */
+/** Runs per idempotency key, over all upstreams; no upstream is killed. */
 async function countRuns(deployment: Deployment): Promise<Map<string, number>> {
   const runs = new Map<string, number>();
   for (const {upstreamAddress} of deployment.places) {
@@ -36,13 +37,13 @@
   return reply?.status === 200;
 }
 
-/** Kills and stops processes in turn, each time until all is well again. */
-async function disturb(deployment: Deployment): Promise<void> {
+/** Kills and stops processes one after the other; waits for each to recover. */
+async function injectFaults(deployment: Deployment): Promise<void> {
   const [first, second, third] = deployment.places;
   first!.node.signal('SIGKILL');
   await first!.node.ended();
   deployment.restart(first!.settings.name);
-  await until('the killed node serves', limit, () =>
+  await until('the killed node serves', waitTimeout, () =>
     isServing(first!.settings.callerAddress),
   );
   const leader = await findLeader(deployment);
@@ -52,19 +53,20 @@
   deployment.restart(deployment.controlSettings[leader]!.name);
   await second!.node.stop();
   deployment.restart(second!.settings.name);
-  await until('the stopped node serves', limit, () =>
+  await until('the stopped node serves', waitTimeout, () =>
     isServing(second!.settings.callerAddress),
   );
   await deployment.operate('undrain', third!.settings.name);
 }
 
 test.serial(
-  'under mixed faults no answer is wrong and each refusal is true',
+  'under mixed faults no answer is wrong and no refused issuance ran',
   async t => {
-    // Schedulers look up, check gates and issue certificates through every node
-    // while nodes and the leader are killed, a node is stopped and an instance
-    // drained. An issuance that was answered ran once; one that was refused as
-    // not run did not run; no other ran more than once; no answer is another's.
+    // Callers send lookups, gate checks and issuances through every node while a
+    // node and the leader are killed, another node is stopped and an instance is
+    // drained. An issuance that was answered must have run once, one that was
+    // refused as not run must not have run, and no other may have run more than
+    // once. No request may get the answer to another one.
     const deployment = await startSmall({
       controls: 3,
       services: [
@@ -96,22 +98,22 @@
       },
       outcome => outcomes.push(outcome),
     );
-    await disturb(deployment);
+    await injectFaults(deployment);
     const summary = await load;
     t.log({...summary.endings, sent: summary.sent});
     t.is(summary.endings.wrong, 0);
 
     const runs = await countRuns(deployment);
     const issuances = outcomes.filter(({call}) => call.kind === 'certificate');
-    const isWhole = ({ending}: Outcome) => ending === 'whole';
+    const isComplete = ({ending}: Outcome) => ending === 'whole';
     const isRefused = ({effect}: Outcome) => effect === 'not-run';
-    t.true(issuances.filter(isWhole).length > 100);
-    const wrongly = (outcome: Outcome) => {
+    t.true(issuances.filter(isComplete).length > 100);
+    const isWrong = (outcome: Outcome) => {
       const count = runs.get(outcome.tag) ?? 0;
-      if (isWhole(outcome)) return count !== 1;
+      if (isComplete(outcome)) return count !== 1;
       return isRefused(outcome) ? count !== 0 : count > 1;
     };
-    t.deepEqual(issuances.filter(wrongly), []);
+    t.deepEqual(issuances.filter(isWrong), []);
     const client = connectOperator(deployment);
     t.true((await client.items('service')).ok);
     await client.close();
--- a/scenarios/processes/relays.test.ts
+++ b/scenarios/processes/relays.test.ts
@@ -6,7 +6,8 @@
 import {until} from '../../bench/deployment/until.js';
 import {call} from '../../bench/demo/calls.js';
 
-const limit = 60_000;
+/** Milliseconds. */
+const waitTimeout = 60_000;
 
 async function start(t: ExecutionContext): Promise<Deployment> {
   const deployment = await startSmall({
@@ -23,8 +24,8 @@
 }
 
 /**
- * Puts a service and waits until every node has that version; gives what went
- * wrong, or nothing.
+ * Puts a service and waits until its version is in force at every node;
+ * resolves with the error output, which is empty on success.
  */
 async function change(deployment: Deployment, name: string): Promise<string> {
   const done = await deployment.operate('put', 'service', name);
@@ -44,12 +45,12 @@
 }
 
 test.serial(
-  'a relay that dies removes no upstream and holds up no change',
+  'the loss of a relay removes no upstream and delays no change',
   async t => {
-    // One of two relays is killed under a stream of lookups. Its nodes find the
-    // other; no upstream disappears, so no lookup fails, and the next change is
-    // in force at every node. Started again, the relay is of use again: then the
-    // other one may die.
+    // One of two relays is killed during continuous lookups. Its nodes connect to
+    // the other one; no upstream disappears, so no lookup may fail, and the next
+    // change must come into force at every node. After the relay has restarted,
+    // the same must hold when the other one is killed.
     const deployment = await start(t);
     t.is(await change(deployment, 'first'), '');
     const [one, two] = deployment.relays;
@@ -65,23 +66,26 @@
   },
 );
 
-test.serial('all nodes return at once after the source was out', async t => {
-  // Both relays and all control processes die together and come back one after
-  // the other. Callers are served all the while. When they are back the nodes
-  // return in a herd, and the next change is in force at each of them.
-  const deployment = await start(t);
-  const all = [...deployment.controls, ...deployment.relays];
-  for (const program of all) program.signal('SIGKILL');
-  await Promise.all(all.map(program => program.ended()));
-  t.deepEqual(await lookUpEverywhere(deployment), [200]);
-  for (const program of all) deployment.restart(program.name);
-  t.deepEqual(await lookUpEverywhere(deployment), [200]);
-  const client = connectOperator(deployment);
-  await until('each node is back', limit, async () => {
-    const reply = await client.inForce();
-    return reply.ok && reply.value.summary.nodes === deployment.places.length;
-  });
-  await client.close();
-  t.is(await change(deployment, 'after'), '');
-  t.deepEqual(await lookUpEverywhere(deployment), [200]);
-});
+test.serial(
+  'all nodes reconnect at once after an outage of relays and control',
+  async t => {
+    // Both relays and all control processes are killed at the same time and
+    // restarted. Callers must be served throughout. Then all nodes reconnect at
+    // once, and the next change must come into force at each of them.
+    const deployment = await start(t);
+    const all = [...deployment.controls, ...deployment.relays];
+    for (const program of all) program.signal('SIGKILL');
+    await Promise.all(all.map(program => program.ended()));
+    t.deepEqual(await lookUpEverywhere(deployment), [200]);
+    for (const program of all) deployment.restart(program.name);
+    t.deepEqual(await lookUpEverywhere(deployment), [200]);
+    const client = connectOperator(deployment);
+    await until('all nodes are connected', waitTimeout, async () => {
+      const reply = await client.inForce();
+      return reply.ok && reply.value.summary.nodes === deployment.places.length;
+    });
+    await client.close();
+    t.is(await change(deployment, 'after'), '');
+    t.deepEqual(await lookUpEverywhere(deployment), [200]);
+  },
+);
--- a/scenarios/processes/replaced-member.test.ts
+++ b/scenarios/processes/replaced-member.test.ts
@@ -14,10 +14,11 @@
 import {createTimers} from '../../src/time/timers.js';
 import {putService} from './put-service.js';
 
-const limit = 60_000;
+/** Milliseconds. */
+const waitTimeout = 60_000;
 const nodes = 3;
 
-/** Starts a fourth control process, which the others' settings do not name. */
+/** Starts a fourth control process, which is not in the settings of the others. */
 async function startFourth(t: ExecutionContext, {data, ...rest}: Deployment) {
   const ports = await reservePorts();
   const [founder] = rest.controlSettings;
@@ -52,12 +53,13 @@
 }
 
 test.serial(
-  'operators and nodes reach a member that replaced a founding one',
+  'operators and nodes reach a member that replaced a founding member',
   async t => {
-    // control-4 replaces control-1. control-2 dies and misses a change, then
-    // control-3 stops and control-2 returns: only control-4 can lead. An
-    // operator who knows control-2 alone must be sent on to it, although no
-    // settings of control-2 name it, and each must count the other's nodes.
+    // control-4 replaces control-1. control-2 is killed and misses a change, then
+    // control-3 stops and control-2 returns, so only control-4 can lead. A client
+    // that has only the address of control-2 must be redirected to control-4,
+    // although the settings of control-2 do not contain it. Each of the two must
+    // count the nodes of the other.
     const deployment = await startSmall({
       controls: 3,
       services: [{name: 'crewbook', instances: nodes}],
@@ -66,7 +68,7 @@
     await findLeader(deployment);
     const fourth = await startFourth(t, deployment);
     const {name, peerAddress, failureDomain} = fourth;
-    await until('control-4 is a member', limit, async () => {
+    await until('control-4 is a member', waitTimeout, async () => {
       const {code} = await deployment.operate(
         ...['replace', 'control', 'control-1', 'with', name],
         ...['at', peerAddress, 'in', failureDomain],
@@ -84,7 +86,7 @@
     deployment.restart('control-2');
 
     const atSecond = connectOperator(deployment, [1]);
-    await until('control-2 follows control-4', limit, async () => {
+    await until('control-2 follows control-4', waitTimeout, async () => {
       const [view] = await atSecond.control();
       return view!.ok && view!.value.leader === name;
     });
@@ -99,12 +101,16 @@
         addresses: [address],
         timers: createTimers(),
       });
-      await until(`all nodes are counted at ${address}`, limit, async () => {
-        const reply = await client.inForce();
-        if (!reply.ok) return false;
-        const {inForce, version} = reply.value.summary;
-        return version > 0 && inForce === nodes;
-      });
+      await until(
+        `all nodes are counted at ${address}`,
+        waitTimeout,
+        async () => {
+          const reply = await client.inForce();
+          if (!reply.ok) return false;
+          const {inForce, version} = reply.value.summary;
+          return version > 0 && inForce === nodes;
+        },
+      );
       await client.close();
     }
   },
--- a/scenarios/processes/requests.test.ts
+++ b/scenarios/processes/requests.test.ts
@@ -14,7 +14,8 @@
 import {call, sha256} from '../../bench/demo/calls.js';
 import type {Reply} from '../../bench/demo/calls.js';
 
-const limit = 60_000;
+/** Milliseconds. */
+const waitTimeout = 60_000;
 const chunks = 20;
 const setUpFile = 'examples/agency/setup.fox';
 
@@ -56,8 +57,8 @@
   return all.reduce((sum, counts) => sum + (counts.runs[key] ?? 0), 0);
 }
 
-async function order(place: Place, words: string): Promise<void> {
-  const url = `http://${place.upstreamAddress}/control/${words}`;
+async function sendControl(place: Place, command: string): Promise<void> {
+  const url = `http://${place.upstreamAddress}/control/${command}`;
   const answer = await request(url, {method: 'POST'});
   await answer.body.dump();
 }
@@ -71,27 +72,27 @@
   }).catch(() => undefined);
 }
 
-/** Where a key's work runs now, by the stand-ins' own counts. */
+/** Finds the instance that runs a key's work, by the upstreams' counters. */
 async function findRunning(
   deployment: Deployment,
   key: string,
 ): Promise<Place> {
-  let found: Place | undefined;
-  await until(`${key} runs`, limit, async () => {
+  let match: Place | undefined;
+  await until(`${key} runs`, waitTimeout, async () => {
     for (const place of crewbooks(deployment)) {
-      if ((await countsOf(place)).runs[key] !== undefined) found = place;
+      if ((await countsOf(place)).runs[key] !== undefined) match = place;
     }
-    return found !== undefined;
+    return match !== undefined;
   });
-  return found!;
+  return match!;
 }
 
 test.serial(
-  'an issuance whose gate dies in the run is never run again',
+  'an issuance whose gate is killed during the run never runs again',
   async t => {
-    // A scheduler issues a certificate; while the upstream works, the node
-    // beside it is killed and the answer is lost. The resends go through the
-    // other nodes under the same key: each is told unknown or gets the answer.
+    // A caller issues a certificate. While the upstream processes it, the node
+    // beside it is killed and the answer is lost. Resends through the other nodes
+    // with the same key must get the effect unknown.
     const deployment = await start(t, {work: 1500});
     const entry = deployment.places.find(
       ({service}) => service === 'drillvault',
@@ -111,11 +112,11 @@
 );
 
 test.serial(
-  'an issuance whose entry dies is answered through another',
+  'a resend through another entry gets the answer after the first entry is killed',
   async t => {
-    // The node that took the scheduler's request is killed while the upstream
-    // works. The scheduler resends through another node and gets the answer of
-    // the one run.
+    // The node that received the request is killed while the upstream processes
+    // it. The caller resends through another node and must get the answer of the
+    // only run.
     const deployment = await start(t, {work: 1500});
     const entry = deployment.places.find(
       ({service}) => service === 'drillvault',
@@ -131,10 +132,10 @@
 );
 
 test.serial(
-  'an issuance whose gate dies after the run is not run again',
+  'an issuance whose gate is killed after the run does not run again',
   async t => {
-    // The certificate was issued and answered; then the node beside its upstream
-    // is killed. A resend finds the stored answer with the keepers.
+    // A certificate is issued and answered; then the node beside its upstream is
+    // killed. A resend must get the answer that the keepers store.
     const deployment = await start(t);
     const entry = deployment.places.find(
       ({service}) => service === 'drillvault',
@@ -151,13 +152,13 @@
 );
 
 test.serial(
-  'an issuance whose answer is lost at the upstream is told unknown',
+  'an issuance whose answer is lost at the upstream has the effect unknown',
   async t => {
-    // The upstream issues the certificate and its connection breaks before the
-    // answer. The scheduler must hear unknown, and a resend must not run it.
+    // The upstream issues the certificate, and its connection breaks before the
+    // answer. The caller must get the effect unknown, and a resend must not run.
     const deployment = await start(t);
     for (const place of crewbooks(deployment)) {
-      await order(place, 'fault?kind=reset-before-head&count=1');
+      await sendControl(place, 'fault?kind=reset-before-head&count=1');
     }
     const entry = crewbooks(deployment)[0]!;
     const first = await issue(entry, 'cert-4');
@@ -168,32 +169,32 @@
   },
 );
 
-test.serial('a record that is cut on its way is a visible error', async t => {
-  // The upstream's connection ends in the middle of a record. The scheduler's
-  // client fails, or is told unknown where nothing was passed on yet; half a
-  // record must never look like a short success.
+test.serial('a truncated record is a visible error', async t => {
+  // The upstream's connection ends in the middle of a record. The caller's client
+  // must fail, or get the effect unknown if no byte was forwarded yet. A partial
+  // record must never look like a complete short one.
   const deployment = await start(t);
   const entry = deployment.places.find(
     ({service}) => service === 'drillvault',
   )!;
   for (const kind of ['cut', 'length', 'reset-after-head']) {
     for (const place of crewbooks(deployment)) {
-      await order(place, `fault?kind=${kind}&count=1`);
+      await sendControl(place, `fault?kind=${kind}&count=1`);
     }
     const lookup = call(entry.settings.callerAddress, '/records/crew-1');
     const reply = await lookup.catch(() => undefined);
     t.true(reply === undefined || reply.effect === 'unknown', kind);
     for (const place of crewbooks(deployment)) {
-      await order(place, 'fault?kind=cut&count=0');
+      await sendControl(place, 'fault?kind=cut&count=0');
     }
   }
 });
 
-test.serial('a planned stop cuts no request in flight', async t => {
-  // A training centre uploads a long video through a node, and schedulers look
-  // up records all the time over kept connections. The node is stopped in a
-  // planned way: the upload ends whole, no lookup through another node fails,
-  // and the node exits with 0.
+test.serial('a graceful stop interrupts no request in progress', async t => {
+  // A caller uploads a large video through a node, and others send lookups over
+  // kept-alive connections. The node is stopped gracefully. The upload must be
+  // stored completely, no lookup through another node may fail, and the node
+  // must exit with 0.
   const deployment = await start(t);
   const [stopped, other] = crewbooks(deployment);
   const body = new PassThrough();
@@ -207,7 +208,7 @@
   const drillvault = deployment.places.find(
     ({service}) => service === 'drillvault',
   )!;
-  await until('the upload has begun', limit, async () => {
+  await until('the upload has begun', waitTimeout, async () => {
     const answer = await request(`http://${drillvault.upstreamAddress}/load`);
     const {running} = (await answer.body.json()) as {running: number};
     return running > 0;
@@ -227,71 +228,73 @@
   body.end();
   const answer = await upload;
   t.is(answer.statusCode, 200);
-  const said = (await answer.body.json()) as {received: string};
-  t.is(said.received, sha256(Buffer.concat(Array(chunks).fill(chunk))));
+  const stored = (await answer.body.json()) as {received: string};
+  t.is(stored.received, sha256(Buffer.concat(Array(chunks).fill(chunk))));
   t.is(await ending, 0);
 });
 
-test.serial('requests go on with every control process dead', async t => {
-  // All control processes are killed at once. Lookups and issuances go on
-  // through every node; a resend still finds its first answer. A node that
-  // starts now has no state proved fresh and refuses as not run.
-  const deployment = await start(t);
-  for (const control of deployment.controls) control.signal('SIGKILL');
-  await Promise.all(deployment.controls.map(control => control.ended()));
-  for (const place of deployment.places) {
-    const reply = await call(place.settings.callerAddress, '/records/crew-2');
-    t.is(reply.status, 200);
-  }
-  const [one, two] = crewbooks(deployment);
-  const first = await issue(one!, 'cert-5');
-  t.is(first?.status, 200, JSON.stringify(first));
-  const resend = await issue(two!, 'cert-5');
-  t.true(resend?.body.equals(first!.body));
-
-  two!.node.signal('SIGKILL');
-  await two!.node.ended();
-  deployment.restart(two!.settings.name);
-  let fresh: Reply | undefined;
-  await until('the restarted node answers', limit, async () => {
-    fresh = await call(two!.settings.callerAddress, '/records/x').catch(
-      () => undefined,
-    );
-    return fresh !== undefined;
-  });
-  t.is(fresh!.effect, 'not-run');
-  t.is(fresh!.code, 5000);
-});
-
 test.serial(
-  'a file that is uploaded through a node is stored once and whole',
+  'requests are served while all control processes are down',
   async t => {
-    // The upstream's connection breaks in the middle of a large upload once. The
-    // centre is told that it is not known, and its own resend is stored whole.
+    // All control processes are killed at once. Lookups and issuances must still be
+    // served through every node, and a resend must get the first answer. A node
+    // that starts now has no configuration that is proved fresh, so it must refuse
+    // requests as not run.
     const deployment = await start(t);
-    const folder = await mkdtemp(join(tmpdir(), 'foxbarrow-upload-'));
-    const bytes = Buffer.alloc(4 * 1024 * 1024, 'evacuation');
-    await writeFile(join(folder, 'video'), bytes);
-    const drillvault = deployment.places.find(
-      ({service}) => service === 'drillvault',
-    )!;
-    const put = () =>
-      request(
-        `http://${crewbooks(deployment)[0]!.settings.callerAddress}/videos/v`,
-        {
-          method: 'PUT',
-          body: createReadStream(join(folder, 'video')),
-          headers: {'content-length': String(bytes.length)},
-        },
+    for (const control of deployment.controls) control.signal('SIGKILL');
+    await Promise.all(deployment.controls.map(control => control.ended()));
+    for (const place of deployment.places) {
+      const reply = await call(place.settings.callerAddress, '/records/crew-2');
+      t.is(reply.status, 200);
+    }
+    const [one, two] = crewbooks(deployment);
+    const first = await issue(one!, 'cert-5');
+    t.is(first?.status, 200, JSON.stringify(first));
+    const resend = await issue(two!, 'cert-5');
+    t.true(resend?.body.equals(first!.body));
+
+    two!.node.signal('SIGKILL');
+    await two!.node.ended();
+    deployment.restart(two!.settings.name);
+    let fresh: Reply | undefined;
+    await until('the restarted node answers', waitTimeout, async () => {
+      fresh = await call(two!.settings.callerAddress, '/records/x').catch(
+        () => undefined,
       );
-    await order(drillvault, 'fault?kind=reset-before-head&count=1');
-    const first = await put();
-    t.is(first.headers['foxbarrow-effect'], 'unknown');
-    await first.body.dump();
-    const second = await put();
-    t.is(second.statusCode, 200);
-    await second.body.dump();
-    const counts = await countsOf(drillvault);
-    t.is(counts.uploads['/videos/v'], sha256(bytes));
+      return fresh !== undefined;
+    });
+    t.is(fresh!.effect, 'not-run');
+    t.is(fresh!.code, 5000);
   },
 );
+
+test.serial('a resent upload is stored completely', async t => {
+  // The upstream's connection breaks once in the middle of a large upload. The
+  // caller must get the effect unknown, and its resend must be stored
+  // completely.
+  const deployment = await start(t);
+  const folder = await mkdtemp(join(tmpdir(), 'foxbarrow-upload-'));
+  const bytes = Buffer.alloc(4 * 1024 * 1024, 'evacuation');
+  await writeFile(join(folder, 'video'), bytes);
+  const drillvault = deployment.places.find(
+    ({service}) => service === 'drillvault',
+  )!;
+  const put = () =>
+    request(
+      `http://${crewbooks(deployment)[0]!.settings.callerAddress}/videos/v`,
+      {
+        method: 'PUT',
+        body: createReadStream(join(folder, 'video')),
+        headers: {'content-length': String(bytes.length)},
+      },
+    );
+  await sendControl(drillvault, 'fault?kind=reset-before-head&count=1');
+  const first = await put();
+  t.is(first.headers['foxbarrow-effect'], 'unknown');
+  await first.body.dump();
+  const second = await put();
+  t.is(second.statusCode, 200);
+  await second.body.dump();
+  const counts = await countsOf(drillvault);
+  t.is(counts.uploads['/videos/v'], sha256(bytes));
+});
--- a/scenarios/processes/restart.test.ts
+++ b/scenarios/processes/restart.test.ts
@@ -16,16 +16,17 @@
 import {metricNames} from '../../src/admin/metric-names.js';
 import type {Command, Edit} from '../../src/configuration/messages.js';
 
-const limit = 60_000;
+/** Milliseconds. */
+const waitTimeout = 60_000;
 const {noConfiguration} = requestCodes;
 const refusal = {
   status: noConfiguration.status,
   code: noConfiguration.number,
   effect: noConfiguration.effect,
 };
-const looks = 30;
-/** Milliseconds; a home has time to send its state between two looks. */
-const lookPeriod = 200;
+const checks = 30;
+/** Milliseconds between two checks, so that a home has time to send its state. */
+const checkInterval = 200;
 
 let lastSequence = Date.now() * 1000;
 
@@ -38,32 +39,32 @@
   crewbooks: number,
 ): Promise<Deployment> {
   const services = [{name: 'crewbook', instances: crewbooks}];
-  // Snapshots so often that a control process knows its state at a start.
+  // Frequent snapshots, so that a restarted control process has a state to serve.
   const control = {snapshotEntries: 2};
   const deployment = await startSmall({controls: 3, services, control});
   t.teardown(deployment.stop);
   return deployment;
 }
 
-const look = (address: string): Promise<Reply | undefined> =>
+const lookUp = (address: string): Promise<Reply | undefined> =>
   call(address, '/records/crew-2').catch(() => undefined);
 
-/** Whether a node got anything from a home, by its own metrics. */
-async function hasHeardHome(address: string): Promise<boolean> {
-  const answer = await request(`http://${address}/metrics`);
-  const text = await answer.body.text();
+/** Whether a node has received bytes from a home, according to its metrics. */
+async function hasReceivedBytes(address: string): Promise<boolean> {
+  const response = await request(`http://${address}/metrics`);
+  const text = await response.body.text();
   const labels = '\\{link="distribution",direction="in"\\}';
   const pattern = new RegExp(`^${metricNames.bytes}${labels} (\\d+)$`, 'm');
   return Number(pattern.exec(text)?.[1] ?? 0) > 0;
 }
 
 test.serial(
-  'a node that restarts beside a stale control process serves nothing old',
+  'a node that restarts with only a stale control process serves no stale state',
   async t => {
-    // An operator removes a route while one control process is dead. Then the
-    // two that know of it stand still, the dead one returns, and a node restarts
-    // and finds only that one. It must refuse lookups as not proved rather than
-    // send them where the route no longer leads, until the others are back.
+    // An operator removes a route while one control process is down. Then the two
+    // others are suspended, the first one returns, and a node restarts and reaches
+    // only that one. Its configuration is not proved fresh, so the node must
+    // refuse lookups rather than use the removed route, until the others resume.
     const deployment = await start(t, 1);
     await setUp(deployment, 'examples/agency/setup.fox');
     const leader = await findLeader(deployment);
@@ -74,8 +75,8 @@
       indexes.forEach(index => deployment.controls[index]!.signal(name));
     const [place] = deployment.places;
     const address = place!.settings.callerAddress;
-    await until('the route is in force', limit, async () => {
-      return (await look(address))?.status === 200;
+    await until('the route is in force', waitTimeout, async () => {
+      return (await lookUp(address))?.status === 200;
     });
 
     deployment.controls[stale]!.signal('SIGKILL');
@@ -85,9 +86,9 @@
     const reply = await client.change(change(removal));
     t.true(reply.ok && reply.value.code === 1000, JSON.stringify(reply));
     await client.close();
-    await until('the removal is in force', limit, async () => {
-      const seen = await look(address);
-      return seen !== undefined && seen.status !== 200;
+    await until('the removal is in force', waitTimeout, async () => {
+      const answer = await lookUp(address);
+      return answer !== undefined && answer.status !== 200;
     });
 
     place!.node.signal('SIGKILL');
@@ -96,34 +97,40 @@
     t.teardown(() => signal(others, 'SIGCONT'));
     deployment.restart(deployment.controlSettings[stale]!.name);
     deployment.restart(place!.settings.name);
-    await until('the node has met the stale process', limit, () =>
-      hasHeardHome(place!.settings.adminAddress).catch(() => false),
+    await until(
+      'the node has received data from the stale process',
+      waitTimeout,
+      () => hasReceivedBytes(place!.settings.adminAddress).catch(() => false),
     );
-    for (let number = 0; number < looks; number++) {
-      const seen = await look(address);
-      const {status, code, effect} = seen!;
+    for (let number = 0; number < checks; number++) {
+      const answer = await lookUp(address);
+      const {status, code, effect} = answer!;
       t.deepEqual({status, code, effect}, refusal);
-      await pause(lookPeriod);
+      await pause(checkInterval);
     }
 
     signal(others, 'SIGCONT');
-    await until('the node serves what is accepted', limit, async () => {
-      const seen = await look(address);
-      t.not(seen?.status, 200);
-      return seen?.status === 404;
-    });
+    await until(
+      'the node serves the accepted version',
+      waitTimeout,
+      async () => {
+        const answer = await lookUp(address);
+        t.not(answer?.status, 200);
+        return answer?.status === 404;
+      },
+    );
   },
 );
 
-test.serial('a leader that is stopped loses no change', async t => {
-  // An operator issues changes one after the other while the leading process
-  // is stopped in a planned way. Every change is accepted, each is in the
-  // history once, and the process exits with 0.
+test.serial('a graceful stop of the leader loses no change', async t => {
+  // An operator sends changes one after the other while the leader is stopped
+  // gracefully. Every change must be accepted, the history must contain each one
+  // once, and the process must exit with 0.
   const deployment = await start(t, 0);
   const leader = await findLeader(deployment);
   const client = connectOperator(deployment);
   let ending: Promise<number> | undefined;
-  for (let number = 0; number < looks; number++) {
+  for (let number = 0; number < checks; number++) {
     if (number === 10) ending = deployment.controls[leader]!.stop();
     const value = {name: `service-${number}`, slowStart: 0};
     const put = {action: 'put', item: {kind: 'service', value}} as const;
@@ -132,6 +139,6 @@
   }
   t.is(await ending!, 0);
   const history = await client.history(100);
-  t.is(history.ok ? history.value.changes.length : 0, looks);
+  t.is(history.ok ? history.value.changes.length : 0, checks);
   await client.close();
 });
