--- a/src/plot/plot.test.ts
+++ b/src/plot/plot.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
 import {drawPlot} from './plot.js';
 
-test('a plot is one SVG element with each series and safe text', t => {
+test('a plot is one SVG element with all series and escaped text', t => {
   const svg = drawPlot({
     title: 'a < b',
     xLabel: 'rate',
--- a/src/plot/plot.ts
+++ b/src/plot/plot.ts
@@ -9,7 +9,7 @@
   readonly points: ReadonlyArray<{readonly x: number; readonly y: number}>;
 }
 
-/** A plot of the outcome. */
+/** A plot with labelled axes. */
 export interface Plot {
   readonly title: string;
   readonly xLabel: string;
@@ -17,7 +17,7 @@
   readonly xScale?: 'linear' | 'log';
   readonly yScale?: 'linear' | 'log';
   readonly series: readonly Series[];
-  /** Levels worth a dashed line, such as an alert's threshold. */
+  /** Horizontal dashed lines, such as an alert's threshold. */
   readonly guides?: ReadonlyArray<{readonly label: string; readonly y: number}>;
 }
 
@@ -25,7 +25,7 @@
 const height = 420;
 const margin = {top: 40, right: 170, bottom: 50, left: 70};
 
-/** Colours that readers with a colour deficiency can tell apart. */
+/** Colours that are distinguishable with a colour vision deficiency. */
 const colours = [
   '#0072b2',
   '#d55e00',
@@ -38,7 +38,7 @@
 
 type Scale = ReturnType<typeof createScale>;
 
-/** The plot as one SVG element. */
+/** Renders a plot as one SVG element. */
 export function drawPlot(plot: Plot): string {
   const points = plot.series.flatMap(series => series.points);
   const guides = plot.guides ?? [];
@@ -74,22 +74,22 @@
 ) {
   if (kind === 'log') {
     const positive = values.filter(value => value > 0);
-    const [least = 1, most = 10] = extent(positive) as [number?, number?];
-    return scaleLog().domain([least, most]).range(range).nice();
+    const [min = 1, max = 10] = extent(positive) as [number?, number?];
+    return scaleLog().domain([min, max]).range(range).nice();
   }
-  const [least = 0, most = 1] = extent(values) as [number?, number?];
+  const [min = 0, max = 1] = extent(values) as [number?, number?];
   return scaleLinear()
-    .domain([Math.min(0, least), most === least ? least + 1 : most])
+    .domain([Math.min(0, min), max === min ? min + 1 : max])
     .range(range)
     .nice();
 }
 
 function drawXAxis(scale: Scale, label: string): string {
-  const base = height - margin.bottom;
+  const bottom = height - margin.bottom;
   const format = scale.tickFormat(8);
   const ticks = scale.ticks(8).map(tick => {
-    const at = scale(tick);
-    return `<line x1="${at}" x2="${at}" y1="${margin.top}" y2="${base}" stroke="#e5e5e5"/><text x="${at}" y="${base + 18}" text-anchor="middle">${format(tick)}</text>`;
+    const position = scale(tick);
+    return `<line x1="${position}" x2="${position}" y1="${margin.top}" y2="${bottom}" stroke="#e5e5e5"/><text x="${position}" y="${bottom + 18}" text-anchor="middle">${format(tick)}</text>`;
   });
   const middle = (margin.left + width - margin.right) / 2;
   return `${ticks.join('')}<text x="${middle}" y="${height - 10}" text-anchor="middle">${escapeText(label)}</text>`;
@@ -99,8 +99,8 @@
   const end = width - margin.right;
   const format = scale.tickFormat(6);
   const ticks = scale.ticks(6).map(tick => {
-    const at = scale(tick);
-    return `<line x1="${margin.left}" x2="${end}" y1="${at}" y2="${at}" stroke="#e5e5e5"/><text x="${margin.left - 8}" y="${at + 4}" text-anchor="end">${format(tick)}</text>`;
+    const position = scale(tick);
+    return `<line x1="${margin.left}" x2="${end}" y1="${position}" y2="${position}" stroke="#e5e5e5"/><text x="${margin.left - 8}" y="${position + 4}" text-anchor="end">${format(tick)}</text>`;
   });
   const middle = (margin.top + height - margin.bottom) / 2;
   return `${ticks.join('')}<text transform="translate(16 ${middle}) rotate(-90)" text-anchor="middle">${escapeText(label)}</text>`;
@@ -121,9 +121,9 @@
   return `<path d="${path([...series.points]) ?? ''}" fill="none" stroke="${colour}" stroke-width="2"/><g fill="${colour}">${dots.join('')}</g>`;
 }
 
-function drawGuide(guide: {label: string}, at: number): string {
+function drawGuide(guide: {label: string}, position: number): string {
   const end = width - margin.right;
-  return `<line x1="${margin.left}" x2="${end}" y1="${at}" y2="${at}" stroke="#999" stroke-dasharray="5 4"/><text x="${end - 4}" y="${at - 4}" text-anchor="end" fill="#666">${escapeText(guide.label)}</text>`;
+  return `<line x1="${margin.left}" x2="${end}" y1="${position}" y2="${position}" stroke="#999" stroke-dasharray="5 4"/><text x="${end - 4}" y="${position - 4}" text-anchor="end" fill="#666">${escapeText(guide.label)}</text>`;
 }
 
 function drawLegend(name: string, index: number, colour: string): string {
@@ -132,7 +132,7 @@
   return `<rect x="${left}" y="${top}" width="12" height="12" fill="${colour}"/><text x="${left + 18}" y="${top + 11}">${escapeText(name)}</text>`;
 }
 
-/** Makes text safe inside SVG and HTML. */
+/** Escapes text for SVG and HTML. */
 export function escapeText(text: string): string {
   return text
     .replaceAll('&', '&amp;')
--- a/src/trace/trace.ts
+++ b/src/trace/trace.ts
@@ -1,21 +1,23 @@
-/** Joins the lines of several processes into the story of one request. */
+/** Merges log lines of several processes into the trace of one request. */
 import type {LogLine} from './log-line.js';
 
-/** The story of one request. */
+/** Log lines that concern one request. */
 export interface Trace {
-  /** Lines about the request, by time. */
+  /** Lines about the request, oldest first. */
   readonly decisions: readonly LogLine[];
-  /** What processes came to believe around it, by time. */
+  /** Lines on state changes of the same processes and instances, oldest first. */
   readonly beliefs: readonly LogLine[];
-  /** Lines that say that others were left out, around it. */
+  /** Lines that report omitted log lines at that time. */
   readonly gaps: readonly LogLine[];
 }
 
-// Beliefs come with heartbeats and leases, seconds apart; an ejection lasts 5 s.
-const before = 10_000;
-const after = 2_000;
+// Milliseconds before the first and after the last decision. State changes are
+// logged with heartbeats and leases, which are seconds apart; an ejection lasts
+// 5 s.
+const windowBefore = 10_000;
+const windowAfter = 2_000;
 
-/** Collects what lines tell of one request. */
+/** Selects the lines that concern one request. */
 export function traceRequest(
   request: string,
   lines: readonly LogLine[],
@@ -24,8 +26,8 @@
   decisions.sort(byTime);
   const first = decisions[0];
   if (first === undefined) return {decisions: [], beliefs: [], gaps: []};
-  const from = timeOf(first) - before;
-  const to = timeOf(decisions[decisions.length - 1]!) + after;
+  const from = timeOf(first) - windowBefore;
+  const to = timeOf(decisions[decisions.length - 1]!) + windowAfter;
   const around = lines
     .filter(line => line.request === undefined)
     .filter(line => timeOf(line) >= from && timeOf(line) <= to)
