--- a/src/burn/burn.test.ts
+++ b/src/burn/burn.test.ts
@@ -19,7 +19,7 @@
   return all.filter(count => count.count > 0);
 }
 
-/** Intervals of five minutes that end now; the last ones have faults. */
+/** Intervals of five minutes up to now; those within `faulty` have bad answers. */
 function samples(length: number, faulty: number, share: number): Samples {
   const step = 5 * minute;
   const intervals = [];
@@ -30,11 +30,11 @@
   return {scrapes: [], time: length, intervals};
 }
 
-function report(given: Samples) {
-  return computeBurn(given, [target], period).services[0]!;
+function report(input: Samples) {
+  return computeBurn(input, [target], period).services[0]!;
 }
 
-test('a rate of 1 spends the budget exactly over the period', t => {
+test('at a burn rate of 1 the budget lasts exactly for the period', t => {
   const burn = report(samples(period, period, 0.001));
   t.true(Math.abs(burn.budgetLeft) < 1e-9);
   for (const window of burn.windows) {
@@ -43,48 +43,49 @@
   }
 });
 
-test('a short, hard fault pages fast and no alert is left an hour after it', t => {
+test('a short, severe fault pages fast and raises no page an hour after its end', t => {
   // 5% over an hour burns at 50, over six hours at 8.3, over three days at 0.7.
-  const during = report(samples(3 * day, hour, 0.05));
-  t.deepEqual(during.alerts, ['page-fast', 'page-slow']);
-  const quiet = samples(3 * day, 0, 0);
-  const after = {
-    ...quiet,
-    intervals: quiet.intervals.map(interval =>
+  const duringFault = report(samples(3 * day, hour, 0.05));
+  t.deepEqual(duringFault.alerts, ['page-fast', 'page-slow']);
+  const faultless = samples(3 * day, 0, 0);
+  const afterFault = {
+    ...faultless,
+    intervals: faultless.intervals.map(interval =>
       interval.to > 3 * day - 2 * hour && interval.to <= 3 * day - hour
         ? {...interval, counts: counts(950, 50)}
         : interval,
     ),
   };
-  const later = report(after).alerts;
-  t.false(later.includes('page-fast'));
-  t.false(later.includes('page-slow'));
+  const alerts = report(afterFault).alerts;
+  t.false(alerts.includes('page-fast'));
+  t.false(alerts.includes('page-slow'));
 });
 
-test('one faulty interval in a quiet hour pages nobody', t => {
+test('one faulty interval in an hour raises no alert', t => {
   // 5 minutes of 1% failures: the short window burns at 10, the hour at 0.8.
   t.deepEqual(report(samples(3 * day, 5 * minute, 0.01)).alerts, []);
 });
 
-test('a slow burn opens a ticket without a page', t => {
+test('a slow burn raises a ticket without a page', t => {
   t.deepEqual(report(samples(3 * day, 3 * day, 0.002)).alerts, ['ticket']);
 });
 
-test('what spent the budget is listed by code and verdict, most first', t => {
-  const given = {
+test('answers that spent the budget are listed by code and verdict, most frequent first', t => {
+  const input = {
     scrapes: [],
     time: hour,
     intervals: [{from: 0, to: hour, counts: counts(900, 75, 25)}],
   };
-  t.deepEqual(report(given).spending, [
+  t.deepEqual(report(input).spending, [
     {code: 5003, verdict: 'failed', count: 75, share: 0.75},
     {code: 1000, verdict: 'slow', count: 25, share: 0.25},
   ]);
 });
 
-test('a window is judged only by samples at least as fine as itself', t => {
-  // The command ran once an hour: nothing is known of the last five minutes,
-  // so the fast page can't fire, and the report shows that it has no samples.
+test('a window uses only intervals that are not longer than itself', t => {
+  // The command ran once an hour, so no interval is short enough for the window
+  // of five minutes. The fast page must not fire, and the report must show that
+  // the window has no samples.
   const intervals = [{from: 0, to: hour, counts: counts(0, 1000)}];
   const burn = report({scrapes: [], time: hour, intervals});
   const short = burn.windows.find(window => window.name === '5m')!;
@@ -93,15 +94,15 @@
   t.false(burn.alerts.includes('page-fast'));
 });
 
-test('answers without an objective are named, not judged', t => {
-  const given = samples(hour, 0, 0);
-  const {services, unjudged} = computeBurn(given, [], period);
+test('answers without an objective are listed without a burn rate', t => {
+  const input = samples(hour, 0, 0);
+  const {services, unjudged} = computeBurn(input, [], period);
   t.deepEqual(services, []);
   t.is(unjudged[0]!.service, 'drillvault');
   t.is(unjudged[0]!.answers, 12_000);
 });
 
-test('no answers at all give an empty report', t => {
+test('without answers the report is empty', t => {
   const empty = {scrapes: [], time: hour, intervals: []};
   t.deepEqual(computeBurn(empty, [target], period).services, []);
 });
--- a/src/burn/burn.ts
+++ b/src/burn/burn.ts
@@ -1,43 +1,43 @@
 import {mergeCounts} from './samples.js';
 import type {Count, Interval, Samples} from './samples.js';
 
-/** Burn rates by the multi-window, multi-burn-rate method. */
+/** Error budget burn rates by the multi-window, multi-burn-rate method. */
 
-/** A promise about the answers of one policy. */
+/** The service-level objective of one policy. */
 export interface Target {
   readonly policy: string;
   /** Share of answers, 0 to 1, that must be good. */
   readonly target: number;
-  /** Milliseconds within which an answer counts as good. */
+  /** Milliseconds; an answer that takes longer is not good. */
   readonly latency: number;
 }
 
-/** How fast the budget was spent over one window. */
+/** Burn of the error budget over one window. */
 export interface WindowBurn {
   readonly name: string;
   /** Milliseconds. */
   readonly length: number;
-  /** Milliseconds of it for which there are samples. */
+  /** Milliseconds of the window for which there are samples. */
   readonly covered: number;
   readonly answers: number;
   readonly spent: number;
-  /** 1 spends the budget exactly over the period. */
+  /** Burn rate; at 1 the budget lasts exactly for the period. */
   readonly rate: number;
 }
 
-/** Alerts, the most urgent first. */
+/** Names of alerts, the most urgent first. */
 export type AlertName = 'page-fast' | 'page-slow' | 'ticket';
 
-/** Answers that spent budget, by how they ended. */
+/** Answers that consumed budget, grouped by result code and verdict. */
 export interface Spending {
   readonly code: number;
   readonly verdict: 'slow' | 'failed';
   readonly count: number;
-  /** Share of all that was spent. */
+  /** Share of all answers that consumed budget, 0 to 1. */
   readonly share: number;
 }
 
-/** One service's state against one policy's objective. */
+/** Budget and burn rates of one service under one policy's objective. */
 export interface ServiceBurn {
   readonly service: string;
   readonly policy: string;
@@ -45,7 +45,7 @@
   readonly latency: number;
   readonly answers: number;
   readonly spent: number;
-  /** Share of the period's budget left; negative when overspent. */
+  /** Remaining share of the period's budget; negative when overspent. */
   readonly budgetLeft: number;
   readonly windows: readonly WindowBurn[];
   readonly alerts: readonly AlertName[];
@@ -57,7 +57,7 @@
   }>;
 }
 
-/** Answers under no known objective; nothing is judged of them. */
+/** Answers without a known objective, for which no budget is computed. */
 export interface Unjudged {
   readonly service: string;
   readonly policy: string;
@@ -66,19 +66,19 @@
 
 /** The whole report. */
 export interface BurnReport {
-  /** Milliseconds since the epoch of the last scrape. */
+  /** When the last scrape was, in milliseconds since the epoch. */
   readonly time: number;
-  /** Milliseconds over which a budget lasts. */
+  /** Length of the budget period in milliseconds. */
   readonly period: number;
   /** Milliseconds of the period for which there are samples. */
   readonly covered: number;
   readonly services: readonly ServiceBurn[];
   readonly unjudged: readonly Unjudged[];
-  /** Nodes that did not answer the last scrape. */
+  /** Admin addresses of nodes that did not answer the last scrape. */
   readonly unreached: readonly string[];
 }
 
-/** Windows as shares of the period; their names are for one of 30 days. */
+/** Windows as shares of the period; the names are the lengths for 30 days. */
 export const windows = [
   {name: '5m', share: 1 / 8640},
   {name: '30m', share: 1 / 1440},
@@ -89,7 +89,7 @@
 
 type WindowName = (typeof windows)[number]['name'];
 
-/** An alert's rule. */
+/** An alert fires when both windows burn at `rate` or faster. */
 interface Rule {
   readonly name: AlertName;
   readonly long: WindowName;
@@ -98,9 +98,9 @@
 }
 
 /**
- * The long window shows that much budget is gone, the short one that it still
- * goes: an alert ends soon after its cause. Rates are those that spend 2%, 5%
- * and 10% of the period's budget within the long window.
+ * The long window shows that a large part of the budget is spent, the short one
+ * that the burn continues, so that an alert ends soon after its cause. The rates
+ * spend 2%, 5% and 10% of the period's budget within the long window.
  */
 export const alertRules: readonly Rule[] = [
   {name: 'page-fast', long: '1h', short: '5m', rate: 14.4},
@@ -108,7 +108,7 @@
   {name: 'ticket', long: '3d', short: '6h', rate: 1},
 ];
 
-/** Reports on `samples` against `targets`. */
+/** Computes the report on `samples` for `targets`. */
 export function computeBurn(
   samples: Samples,
   targets: readonly Target[],
@@ -121,13 +121,15 @@
   const totals = mergeCounts(inPeriod.flatMap(interval => interval.counts));
   const services: ServiceBurn[] = [];
   const unjudged: Unjudged[] = [];
-  for (const {service, policy} of pairs(totals)) {
+  for (const {service, policy} of listPairs(totals)) {
     const target = targets.find(target => target.policy === policy);
-    const own = pick(inPeriod, service, policy);
+    const selected = selectCounts(inPeriod, service, policy);
     if (target === undefined) {
-      unjudged.push({service, policy, answers: sum(countsOf(own))});
+      unjudged.push({service, policy, answers: sum(countsOf(selected))});
     } else {
-      services.push(judgeService(service, target, own, samples.time, period));
+      services.push(
+        computeServiceBurn(service, target, selected, samples.time, period),
+      );
     }
   }
   services.sort((left, right) => left.budgetLeft - right.budgetLeft);
@@ -135,15 +137,15 @@
   return {time: samples.time, period, covered, services, unjudged, unreached};
 }
 
-function pairs(counts: readonly Count[]) {
-  const seen = new Map<string, {service: string; policy: string}>();
+function listPairs(counts: readonly Count[]) {
+  const pairs = new Map<string, {service: string; policy: string}>();
   for (const {service, policy} of counts) {
-    seen.set(`${service} ${policy}`, {service, policy});
+    pairs.set(`${service} ${policy}`, {service, policy});
   }
-  return [...seen.values()];
+  return [...pairs.values()];
 }
 
-function pick(
+function selectCounts(
   intervals: readonly Interval[],
   service: string,
   policy: string,
@@ -156,7 +158,7 @@
   }));
 }
 
-function judgeService(
+function computeServiceBurn(
   service: string,
   target: Target,
   intervals: readonly Interval[],
@@ -164,8 +166,8 @@
   period: number,
 ): ServiceBurn {
   const counts = countsOf(intervals);
-  const bad = counts.filter(isSpent);
-  const measured = windows.map(window =>
+  const bad = counts.filter(hasSpentBudget);
+  const windowBurns = windows.map(window =>
     measureWindow(window.name, window.share * period, intervals, now, target),
   );
   return {
@@ -174,9 +176,9 @@
     answers: sum(counts),
     spent: sum(bad),
     budgetLeft: 1 - burnRate(sum(bad), sum(counts), target.target),
-    windows: measured,
+    windows: windowBurns,
     alerts: alertRules
-      .filter(rule => fires(rule, measured))
+      .filter(rule => isFiring(rule, windowBurns))
       .map(rule => rule.name),
     spending: listSpending(bad),
     history: intervals.map(interval => ({
@@ -186,7 +188,7 @@
   };
 }
 
-/** An interval longer than the window can't tell what happened within it. */
+/** Ignores intervals longer than the window: they are too coarse for it. */
 function measureWindow(
   name: string,
   length: number,
@@ -194,23 +196,23 @@
   now: number,
   target: Target,
 ): WindowBurn {
-  const inside = intervals.filter(
+  const inWindow = intervals.filter(
     ({from, to}) => to > now - length && to - from <= length,
   );
-  const counts = countsOf(inside);
+  const counts = countsOf(inWindow);
   return {
     name,
     length,
-    covered: coverage(inside, now, length),
+    covered: coverage(inWindow, now, length),
     answers: sum(counts),
-    spent: sum(counts.filter(isSpent)),
+    spent: sum(counts.filter(hasSpentBudget)),
     rate: rateOf(counts, target),
   };
 }
 
-function fires(rule: Rule, measured: readonly WindowBurn[]): boolean {
+function isFiring(rule: Rule, windowBurns: readonly WindowBurn[]): boolean {
   return [rule.long, rule.short].every(name => {
-    const window = measured.find(window => window.name === name);
+    const window = windowBurns.find(window => window.name === name);
     return window !== undefined && window.rate >= rule.rate;
   });
 }
@@ -228,10 +230,14 @@
 }
 
 function rateOf(counts: readonly Count[], target: Target): number {
-  return burnRate(sum(counts.filter(isSpent)), sum(counts), target.target);
+  return burnRate(
+    sum(counts.filter(hasSpentBudget)),
+    sum(counts),
+    target.target,
+  );
 }
 
-/** Share of bad answers over the share that the objective allows. */
+/** Share of bad answers divided by the share that the objective allows. */
 function burnRate(bad: number, answers: number, target: number): number {
   if (bad === 0) return 0;
   return bad / answers / (1 - target);
@@ -251,7 +257,7 @@
   return intervals.flatMap(interval => interval.counts);
 }
 
-function isSpent(count: Count): boolean {
+function hasSpentBudget(count: Count): boolean {
   return count.verdict !== 'good';
 }
 
--- a/src/burn/command.test.ts
+++ b/src/burn/command.test.ts
@@ -9,7 +9,7 @@
 
 const targets = [{policy: 'gate-checks', target: 0.99, latency: 50}];
 
-/** A node that answers 100 more each scrape, of which some fail. */
+/** A node that answers 100 more requests by each scrape; `failing` of them fail. */
 function scrapeOf(round: number, failing: number): Scrape {
   const base = {service: 'drillvault', policy: 'gate-checks'};
   return {
@@ -22,7 +22,7 @@
   };
 }
 
-async function run(args: readonly string[], failing = 0, reached = true) {
+async function run(args: readonly string[], failing = 0, isReached = true) {
   const timers = createFakeTimers(1_000_000);
   let round = 0;
   const output = {out: '', error: ''};
@@ -34,12 +34,13 @@
     timers,
     scrape: async nodes => {
       round++;
-      if (!reached) return {scrapes: [], unreached: nodes};
+      if (!isReached) return {scrapes: [], unreached: nodes};
       return {scrapes: [scrapeOf(round, failing)], unreached: []};
     },
     targets: async () => success(targets),
-  }).then(ended => (code = ended));
-  // Files settle in real time, so fake time moves on until the command ends.
+  }).then(exitCode => (code = exitCode));
+  // File operations take real time, so the fake time advances until the command
+  // has ended.
   while (code === undefined) await timers.advanceAsync(1000);
   return {code, rounds: round, ...output};
 }
@@ -60,7 +61,7 @@
   t.regex(out, /100% +5003/);
 });
 
-test('a service without faults keeps its budget and raises no alert', async t => {
+test('a service without failures spends no budget and raises no alert', async t => {
   const {out} = await run([...sampling, '--json']);
   const report = JSON.parse(out);
   t.is(report.services[0].budgetLeft, 1);
@@ -68,7 +69,7 @@
   t.is(report.covered, 60_000);
 });
 
-test('the page stands alone and shows the same figures', async t => {
+test('the HTML page is self-contained and shows the service and its alert', async t => {
   const folder = await mkdtemp(join(tmpdir(), 'foxbarrow-'));
   const file = join(folder, 'burn.html');
   await run([...sampling, '--html', file], 20);
@@ -79,7 +80,7 @@
   t.notRegex(page, /NaN|undefined/);
 });
 
-test('samples are kept between runs, so one scrape each is enough', async t => {
+test('samples are stored between runs, so one scrape a run is enough', async t => {
   const folder = await mkdtemp(join(tmpdir(), 'foxbarrow-'));
   const samples = join(folder, 'samples.json');
   const args = ['burn', '--samples', samples];
@@ -89,7 +90,7 @@
   t.regex(out, /600/);
 });
 
-test('a broken samples file is refused and left as it was', async t => {
+test('an invalid samples file is refused and not modified', async t => {
   const folder = await mkdtemp(join(tmpdir(), 'foxbarrow-'));
   const samples = join(folder, 'samples.json');
   await writeFile(samples, '{"time": 1');
@@ -99,14 +100,14 @@
   t.is(await readFile(samples, 'utf8'), '{"time": 1');
 });
 
-test('no node reached is a failure, never an empty report', async t => {
+test('a run that reaches no node fails and prints no report', async t => {
   const {code, out, error} = await run(sampling, 0, false);
   t.is(code, 1);
   t.is(out, '');
   t.regex(error, /8003 none of 1 nodes/);
 });
 
-test('unusable options exit 2 with one line', async t => {
+test('invalid options print one line and exit with 2', async t => {
   for (const args of [
     [],
     ['latency'],
--- a/src/burn/command.ts
+++ b/src/burn/command.ts
@@ -20,7 +20,7 @@
 import type {ScrapeResult} from './scrape.js';
 import {renderTable} from './table.js';
 
-/** Where the command reads and writes; stand-ins in tests. */
+/** Inputs and outputs of the command; replaced in tests. */
 export interface CommandContext {
   readonly out: (text: string) => void;
   readonly error: (text: string) => void;
@@ -42,12 +42,12 @@
   });
 }
 
-/** The command with its surroundings given. */
+/** Runs the command in the given context; resolves with the exit code. */
 export async function runReport(
   args: readonly string[],
-  surroundings: CommandContext,
+  context: CommandContext,
 ): Promise<number> {
-  const {out, error, environment} = surroundings;
+  const {out, error, environment} = context;
   const options = resolveBurnOptions(args, environment);
   if (!options.ok) {
     error(`foxbarrow: ${options.message}; see foxbarrow report burn --help\n`);
@@ -57,22 +57,22 @@
     out(burnHelp);
     return exitCodes.ok;
   }
-  const report = await makeReport(options.value, surroundings);
+  const report = await makeReport(options.value, context);
   if (!report.ok) {
     error(`foxbarrow: ${report.code.number} ${report.message}\n`);
     return exitCodes.failed;
   }
-  await publish(report.value, options.value, out);
+  await writeReport(report.value, options.value, out);
   return exitCodes.ok;
 }
 
 async function makeReport(
   options: BurnOptions,
-  surroundings: CommandContext,
+  context: CommandContext,
 ): Promise<Result<BurnReport>> {
-  const targets = await surroundings.targets(options);
+  const targets = await context.targets(options);
   if (!targets.ok) return targets;
-  const sampled = await sample(options, surroundings);
+  const sampled = await sample(options, context);
   if (!sampled.ok) return sampled;
   const {samples, unreached} = sampled.value;
   return success(
@@ -80,42 +80,42 @@
   );
 }
 
-interface Sampled {
+interface SamplingResult {
   readonly samples: Samples;
   readonly unreached: readonly string[];
 }
 
-/** Scrapes until the time is over, saving after each round. */
+/** Scrapes until the sampling time is over; saves the samples after each round. */
 async function sample(
   options: BurnOptions,
   {scrape, timers}: CommandContext,
-): Promise<Result<Sampled>> {
+): Promise<Result<SamplingResult>> {
   const {samplesFile, nodes, length, every, period} = options;
-  const kept =
+  const stored =
     samplesFile === undefined
       ? success(noSamples)
       : await readSamples(samplesFile);
-  if (!kept.ok) return kept;
-  let samples = kept.value;
+  if (!stored.ok) return stored;
+  let samples = stored.value;
   let unreached: readonly string[] = [];
-  let reached = nodes.length === 0;
+  let isAnyReached = nodes.length === 0;
   const end = timers.now() + length;
-  for (let due = timers.now(); nodes.length > 0; due += every) {
+  for (let next = timers.now(); nodes.length > 0; next += every) {
     const round = await scrape(nodes);
     unreached = round.unreached;
-    reached ||= round.scrapes.length > 0;
+    isAnyReached ||= round.scrapes.length > 0;
     samples = compact(
       addScrapes(samples, timers.wall(), round.scrapes),
       period,
     );
     if (samplesFile !== undefined) await writeSamples(samplesFile, samples);
-    if (due + every > end) break;
-    await pause(timers, due + every - timers.now());
+    if (next + every > end) break;
+    await pause(timers, next + every - timers.now());
   }
-  if (reached) return success({samples, unreached});
+  if (isAnyReached) return success({samples, unreached});
   return failure(
     adminCodes.scrapeFailed,
-    `none of ${nodes.length} nodes gave its metrics; check the addresses`,
+    `none of ${nodes.length} nodes returned its metrics; check the addresses`,
   );
 }
 
@@ -125,7 +125,7 @@
   });
 }
 
-async function publish(
+async function writeReport(
   report: BurnReport,
   options: BurnOptions,
   out: (text: string) => void,
@@ -143,6 +143,6 @@
   if (control.length > 0) return requestTargets(control, options.token);
   return failure(
     adminCodes.objectivesMissing,
-    'name the policies: --control ADDRESS or --objectives FILE',
+    'no source of objectives: give --control ADDRESS or --objectives FILE',
   );
 }
--- a/src/burn/duration.ts
+++ b/src/burn/duration.ts
@@ -1,4 +1,4 @@
-/** Durations as people read them on the report. */
+/** Formats and parses durations for people. */
 
 const units = [
   {name: 'd', length: 86_400_000},
@@ -7,14 +7,14 @@
   {name: 's', length: 1000},
 ] as const;
 
-/** Milliseconds as one number with its unit, such as `6h` or `2.5s`. */
+/** Formats milliseconds as one number with its unit, such as `6h` or `2.5s`. */
 export function formatDuration(milliseconds: number): string {
   const unit = units.find(unit => milliseconds >= unit.length);
   if (unit === undefined) return `${Math.round(milliseconds)}ms`;
   return `${Number((milliseconds / unit.length).toFixed(1))}${unit.name}`;
 }
 
-/** Reads `90s`, `5m`, `2h` or `30d`; undefined for anything else. */
+/** Parses `90s`, `5m`, `2h` or `30d` to milliseconds; undefined for other text. */
 export function parseDuration(text: string): number | undefined {
   const match = /^(\d+(?:\.\d+)?)(d|h|m|s)$/.exec(text);
   if (match === null) return undefined;
--- a/src/burn/objectives.ts
+++ b/src/burn/objectives.ts
@@ -9,9 +9,9 @@
 import {createTimers} from '../time/timers.js';
 import type {Target} from './burn.js';
 
-/** Where objectives come from: the policies in force, or a file. */
+/** Reads objectives from the policies in force or from a file. */
 
-const file = z.array(
+const objectivesSchema = z.array(
   z
     .object({
       policy: z.string(),
@@ -24,16 +24,20 @@
 /** Reads a file of objectives: a list of {policy, target, latency}. */
 export async function readTargets(path: string): Promise<Result<Target[]>> {
   try {
-    const parsed = file.safeParse(JSON.parse(await readFile(path, 'utf8')));
+    const parsed = objectivesSchema.safeParse(
+      JSON.parse(await readFile(path, 'utf8')),
+    );
     if (parsed.success) return success(parsed.data);
     const issue = parsed.error.issues[0]!;
-    return missing(`${path}: ${issue.path.join('.')}: ${issue.message}`);
+    return objectivesMissing(
+      `${path}: ${issue.path.join('.')}: ${issue.message}`,
+    );
   } catch (error) {
-    return missing(`${path}: ${(error as Error).message}`);
+    return objectivesMissing(`${path}: ${(error as Error).message}`);
   }
 }
 
-/** The objectives of the policies in force, from the control group. */
+/** Requests the objectives of the policies in force from the control group. */
 export async function requestTargets(
   addresses: readonly Address[],
   token: string | undefined,
@@ -45,7 +49,7 @@
   });
   const reply = await client.items('policy');
   await client.close();
-  if (!reply.ok) return missing(`control: ${reply.refusal.message}`);
+  if (!reply.ok) return objectivesMissing(`control: ${reply.refusal.message}`);
   return success(reply.value.items.flatMap(targetOf));
 }
 
@@ -54,6 +58,6 @@
   return [{policy: item.value.name, ...item.value.objective}];
 }
 
-function missing(message: string): Result<never> {
+function objectivesMissing(message: string): Result<never> {
   return failure(adminCodes.objectivesMissing, message);
 }
--- a/src/burn/options.ts
+++ b/src/burn/options.ts
@@ -7,41 +7,43 @@
 import type {Result} from '../result/failure.js';
 import {parseDuration} from './duration.js';
 
-/** What the burn report is asked to do; times in milliseconds. */
+/** Options of the burn report; times in milliseconds. */
 export interface BurnOptions {
   /** Admin addresses of the nodes. */
   readonly nodes: readonly Address[];
-  /** Operators' addresses of control; objectives come from there. */
+  /** Operator addresses of control processes that give the objectives. */
   readonly control: readonly Address[];
-  /** Secret of the operators' API. */
+  /** Token of the operators' API. */
   readonly token: string | undefined;
-  /** A file of objectives in place of control. */
+  /** File of objectives, used instead of `control`. */
   readonly objectivesFile: string | undefined;
-  /** Where samples are kept between runs; absent to keep none. */
+  /** File that stores samples between runs; undefined to store none. */
   readonly samplesFile: string | undefined;
   /** How long to sample; 0 for one scrape. */
   readonly length: number;
+  /** Interval between scrapes. */
   readonly every: number;
+  /** Length of the budget period. */
   readonly period: number;
   readonly json: boolean;
-  /** Where to write the page. */
+  /** File for the HTML page. */
   readonly pageFile: string | undefined;
   readonly help: boolean;
 }
 
-/** Reads the words after `report`. */
+/** Parses the arguments after `report`. */
 export function resolveBurnOptions(
   args: readonly string[],
   environment: Readonly<Record<string, string | undefined>>,
 ): Result<BurnOptions> {
   try {
-    return success(readOptions(args, environment));
+    return success(parseOptions(args, environment));
   } catch (error) {
     return failure(commonCodes.usage, (error as Error).message);
   }
 }
 
-function readOptions(
+function parseOptions(
   args: readonly string[],
   environment: Readonly<Record<string, string | undefined>>,
 ): BurnOptions {
@@ -65,30 +67,35 @@
   if (positionals.length !== 1 || positionals[0] !== 'burn') {
     throw new Error('the only report is "burn"');
   }
-  const listed = values.control ?? [environment['FOXBARROW_CONTROL'] ?? ''];
+  const controlLists = values.control ?? [
+    environment['FOXBARROW_CONTROL'] ?? '',
+  ];
   return {
     nodes: splitAddresses([...values.node, ...readNodes(values.nodes)]),
-    control: splitAddresses(listed),
+    control: splitAddresses(controlLists),
     token: environment['FOXBARROW_TOKEN'],
     objectivesFile: values.objectives,
     samplesFile: values.samples,
-    length: values.for === undefined ? 0 : duration('--for', values.for),
-    every: duration('--every', values.every),
-    period: duration('--period', values.period),
+    length:
+      values.for === undefined ? 0 : parseDurationOption('--for', values.for),
+    every: parseDurationOption('--every', values.every),
+    period: parseDurationOption('--period', values.period),
     json: values.json,
     pageFile: values.html,
     help: values.help,
   };
 }
 
-/** A nodes file has one admin address a line; `#` begins a comment. */
+/** Reads a file with one admin address per line; `#` begins a comment. */
 function readNodes(file: string | undefined): string[] {
   if (file === undefined) return [];
   let text: string;
   try {
     text = readFileSync(file, 'utf8');
   } catch {
-    throw new Error(`--nodes ${file}: cannot be read; one address a line`);
+    throw new Error(
+      `--nodes ${file}: can't be read; it needs one address per line`,
+    );
   }
   return text.split('\n').map(line => line.replace(/#.*$/, '').trim());
 }
@@ -104,7 +111,7 @@
   return [...new Set(addresses)];
 }
 
-function duration(option: string, text: string): number {
+function parseDurationOption(option: string, text: string): number {
   const length = parseDuration(text);
   if (length !== undefined) return length;
   throw new Error(`${option} ${text}: give a duration, such as 90s, 5m or 30d`);
--- a/src/burn/page.ts
+++ b/src/burn/page.ts
@@ -12,7 +12,7 @@
 } from './format.js';
 import {pageStyle} from './page-style.js';
 
-/** The report as one HTML page that needs nothing from elsewhere. */
+/** Renders the report as one self-contained HTML page. */
 export function renderPage(report: BurnReport): string {
   const time = new Date(report.time).toISOString();
   return `<!doctype html>
@@ -39,9 +39,9 @@
 
 function renderUnreached(nodes: readonly string[]): string {
   if (nodes.length === 0) return '';
-  const named = nodes.slice(0, 10).map(escapeText).join(', ');
+  const names = nodes.slice(0, 10).map(escapeText).join(', ');
   const rest = nodes.length > 10 ? ` and ${nodes.length - 10} more` : '';
-  return `<p class="warning">Not reached, so not counted since their last scrape: ${named}${rest}</p>`;
+  return `<p class="warning">Not reached, so not counted since their last scrape: ${names}${rest}</p>`;
 }
 
 function renderSummary(services: readonly ServiceBurn[]): string {
@@ -70,7 +70,7 @@
   return `<svg class="bar" viewBox="0 0 100 10" role="img"><rect width="100" height="10" fill="#e5e5e5"/><rect width="${share * 100}" height="10" fill="${colour}"/></svg> ${formatBudget(left)}`;
 }
 
-/** A rate is marked when it has reached a rule that reads its window. */
+/** Highlights a rate that reaches the threshold of the rule for its window. */
 function renderRate(window: WindowBurn): string {
   const rule = alertRules.find(rule =>
     [rule.long, rule.short].some(name => name === window.name),
@@ -90,13 +90,13 @@
       : `<table><thead><tr><th>What spent the budget</th><th class="number">Answers</th><th class="number">Share</th></tr></thead><tbody>${spending.join('')}</tbody></table>`;
   return `<section id="${anchor(burn)}">
 <h2>${escapeText(burn.service)} under ${escapeText(burn.policy)}</h2>
-${drawPlot(planPlot(burn, now))}
+${drawPlot(createPlot(burn, now))}
 ${table}
 </section>`;
 }
 
-/** Time runs in the unit that fits the history. */
-function planPlot(burn: ServiceBurn, now: number): Plot {
+/** Creates a service's plot; the time axis has a unit that fits the history. */
+function createPlot(burn: ServiceBurn, now: number): Plot {
   const oldest = now - (burn.history[0]?.time ?? now);
   const unit = [
     {name: 'days', length: 86_400_000},
@@ -125,7 +125,7 @@
   };
 }
 
-/** Thresholds far above the curve flatten it; far below they lie on the axis. */
+/** Omits thresholds far above the curve, which flatten it, or close to the axis. */
 function isVisible(rate: number, highest: number): boolean {
   return rate <= highest * 2 && rate >= highest / 25;
 }
@@ -142,7 +142,7 @@
 const urgency: Readonly<Record<AlertName, string>> = {
   'page-fast': 'call the person on duty now',
   'page-slow': 'call the person on duty',
-  ticket: 'look at it within days',
+  ticket: 'investigate within days',
 };
 
 function renderRules(period: number): string {
--- a/src/burn/samples-file.ts
+++ b/src/burn/samples-file.ts
@@ -6,7 +6,7 @@
 import {noSamples} from './samples.js';
 import type {Samples} from './samples.js';
 
-const count = z.object({
+const countSchema = z.object({
   service: z.string(),
   policy: z.string(),
   code: z.number(),
@@ -14,23 +14,27 @@
   count: z.number().nonnegative(),
 });
 
-const samples = z
+const samplesSchema = z
   .object({
     scrapes: z.array(
       z.object({
         node: z.string(),
         started: z.number(),
-        counts: z.array(count),
+        counts: z.array(countSchema),
       }),
     ),
     time: z.number(),
     intervals: z.array(
-      z.object({from: z.number(), to: z.number(), counts: z.array(count)}),
+      z.object({
+        from: z.number(),
+        to: z.number(),
+        counts: z.array(countSchema),
+      }),
     ),
   })
   .strict();
 
-/** Reads a samples file; a missing one is empty, a broken one is refused. */
+/** Reads a samples file; a missing file gives no samples, an invalid one a failure. */
 export async function readSamples(file: string): Promise<Result<Samples>> {
   let text: string;
   try {
@@ -39,26 +43,26 @@
     if ((error as NodeJS.ErrnoException).code === 'ENOENT') {
       return success(noSamples);
     }
-    return unusable(file, (error as Error).message);
+    return samplesUnusable(file, (error as Error).message);
   }
   try {
-    return success(samples.parse(JSON.parse(text)));
+    return success(samplesSchema.parse(JSON.parse(text)));
   } catch {
-    return unusable(file, 'it is no samples file of this program');
+    return samplesUnusable(file, 'it is not a samples file of foxbarrow');
   }
 }
 
-/** Replaces a samples file as a whole: an interrupted write leaves the old one. */
+/** Replaces a samples file atomically: an interrupted write leaves the old file. */
 export async function writeSamples(
   file: string,
   content: Samples,
 ): Promise<void> {
-  const fresh = `${file}.new`;
-  await writeFile(fresh, `${JSON.stringify(content)}\n`);
-  await rename(fresh, file);
+  const newFile = `${file}.new`;
+  await writeFile(newFile, `${JSON.stringify(content)}\n`);
+  await rename(newFile, file);
 }
 
-function unusable(file: string, problem: string): Result<never> {
+function samplesUnusable(file: string, problem: string): Result<never> {
   return failure(
     adminCodes.samplesUnusable,
     `${file}: ${problem}; name another file with --samples`,
--- a/src/burn/samples.ts
+++ b/src/burn/samples.ts
@@ -1,9 +1,9 @@
-/** What the burn report keeps between scrapes. */
+/** Samples that the burn report stores between scrapes. */
 
-/** How one answer counts; the same strings as the metric's label. */
+/** How an answer counts; values of the label `verdict` of the metric. */
 export type Verdict = 'good' | 'slow' | 'failed';
 
-/** Answers of one service under one policy that ended alike. */
+/** Number of answers of one service and policy with equal code and verdict. */
 export interface Count {
   readonly service: string;
   readonly policy: string;
@@ -13,10 +13,10 @@
   readonly count: number;
 }
 
-/** One node's counts since it started. */
+/** Counts of one node since its start. */
 export interface Scrape {
   readonly node: string;
-  /** Milliseconds since the epoch when its counts began. */
+  /** When the node started to count, in milliseconds since the epoch. */
   readonly started: number;
   readonly counts: readonly Count[];
 }
@@ -28,19 +28,19 @@
   readonly counts: readonly Count[];
 }
 
-/** The samples file's content. */
+/** Content of the samples file. */
 export interface Samples {
   readonly scrapes: readonly Scrape[];
-  /** When `scrapes` were taken; 0 before the first. */
+  /** When the last scrape was, in milliseconds since the epoch; 0 before the first. */
   readonly time: number;
   /** Oldest first, without overlap. */
   readonly intervals: readonly Interval[];
 }
 
-/** Samples before the first scrape. */
+/** Empty samples, as before the first scrape. */
 export const noSamples: Samples = {scrapes: [], time: 0, intervals: []};
 
-/** Adds the answers since the last scrapes; keeps those of nodes not reached. */
+/** Adds the answers since the last scrapes; keeps the last scrape of unreached nodes. */
 export function addScrapes(
   samples: Samples,
   time: number,
@@ -48,7 +48,7 @@
 ): Samples {
   const last = new Map(samples.scrapes.map(scrape => [scrape.node, scrape]));
   const counts = scrapes.flatMap(scrape =>
-    increments(last.get(scrape.node), scrape, samples.time),
+    countSince(last.get(scrape.node), scrape, samples.time),
   );
   for (const scrape of scrapes) last.set(scrape.node, scrape);
   const interval = {from: samples.time, to: time, counts: mergeCounts(counts)};
@@ -61,23 +61,25 @@
 }
 
 /**
- * What one node answered since its last scrape. A restart begins its counts
- * anew: taking the difference would give a negative number, or lose answers
- * when the new count has passed the old one, so the start's time decides. A
- * node that was running before it was first seen has counts of unknown age:
- * they only set the mark.
+ * The answers of one node since its last scrape. Counts restart from 0 with the
+ * process, so the difference of counts may be negative, or too small when the
+ * new count exceeds the old one. Therefore the start time shows whether the node
+ * restarted. The counts of a node that ran before its first scrape are of unknown
+ * age and only set the baseline.
  */
-function increments(
+function countSince(
   last: Scrape | undefined,
   now: Scrape,
   lastTime: number,
 ): readonly Count[] {
   if (last === undefined) return now.started >= lastTime ? now.counts : [];
   if (last.started !== now.started) return now.counts;
-  const before = new Map(last.counts.map(count => [keyOf(count), count.count]));
+  const previous = new Map(
+    last.counts.map(count => [keyOf(count), count.count]),
+  );
   return now.counts.map(count => ({
     ...count,
-    count: count.count - (before.get(keyOf(count)) ?? 0),
+    count: count.count - (previous.get(keyOf(count)) ?? 0),
   }));
 }
 
@@ -85,7 +87,7 @@
   return `${count.service} ${count.policy} ${count.code} ${count.verdict}`;
 }
 
-/** Sums counts that differ in nothing but their number; drops zeros. */
+/** Sums counts of equal service, policy, code and verdict; omits zeros. */
 export function mergeCounts(counts: readonly Count[]): Count[] {
   const sums = new Map<string, Count>();
   for (const count of counts) {
@@ -96,7 +98,7 @@
   return [...sums.values()].filter(count => count.count > 0);
 }
 
-/** How fine the history is, as shares of the objective's period. */
+/** Minimum interval length by age, both as shares of the period. */
 const resolutions = [
   {age: 1 / 4320, step: 0},
   {age: 1 / 120, step: 1 / 8640},
@@ -105,9 +107,9 @@
 ] as const;
 
 /**
- * Drops what is older than the period and merges what is old, so that the file
- * stays bounded: about 180 intervals for a period, however often it is scraped.
- * An interval is never longer than the shortest window that still reads it.
+ * Removes intervals older than the period and merges old ones, so that the file
+ * is bounded: about 180 intervals for a period, whatever the scrape interval is.
+ * An interval is never longer than the shortest window that still uses it.
  */
 export function compact(samples: Samples, period: number): Samples {
   const merged: Interval[] = [];
@@ -116,12 +118,12 @@
     if (age > period) continue;
     const last = merged.at(-1);
     const step = stepAt(age / period) * period;
-    const joins =
+    const isMergeable =
       last !== undefined &&
       step > 0 &&
       last.to === interval.from &&
       Math.floor(last.from / step) === Math.floor(interval.from / step);
-    if (joins) merged[merged.length - 1] = join(last, interval);
+    if (isMergeable) merged[merged.length - 1] = mergeIntervals(last, interval);
     else merged.push(interval);
   }
   return {...samples, intervals: merged};
@@ -131,7 +133,7 @@
   return resolutions.find(resolution => age <= resolution.age)?.step ?? 1;
 }
 
-function join(left: Interval, right: Interval): Interval {
+function mergeIntervals(left: Interval, right: Interval): Interval {
   return {
     from: left.from,
     to: right.to,
--- a/src/burn/scrape.test.ts
+++ b/src/burn/scrape.test.ts
@@ -5,7 +5,7 @@
 import {commonCodes} from '../result/codes.js';
 import {scrapeNodes} from './scrape.js';
 
-test("a node's counts are read over its admin listener; one that is gone is named", async t => {
+test("a node's counts are read from its admin listener, and an unreachable node is listed", async t => {
   const registry = new Registry();
   const metrics = createMetrics({registry});
   const server = await createAdminServer({
@@ -27,9 +27,9 @@
   metrics.answered({...request, route: 'parts'});
   metrics.answered({...request, route: 'parts', duration: 51});
 
-  const gone = '127.0.0.1:1';
-  const round = await scrapeNodes([server.address, gone]);
-  t.deepEqual(round.unreached, [gone]);
+  const unreachable = '127.0.0.1:1';
+  const round = await scrapeNodes([server.address, unreachable]);
+  t.deepEqual(round.unreached, [unreachable]);
   const base = {service: 'stock-desk', policy: 'lookups', code: 1000};
   t.deepEqual(round.scrapes, [
     {
--- a/src/burn/scrape.ts
+++ b/src/burn/scrape.ts
@@ -5,22 +5,22 @@
 import {mergeCounts} from './samples.js';
 import type {Scrape} from './samples.js';
 
-/** Reads the request counts of nodes from their admin listeners. */
+/** Scrapes the request counts of nodes from their admin listeners. */
 
-/** What a round of scrapes gave. */
+/** Result of one scrape of all nodes. */
 export interface ScrapeResult {
   readonly scrapes: readonly Scrape[];
-  /** Nodes that gave nothing usable in time. */
+  /** Nodes that returned no valid counts in time. */
   readonly unreached: readonly Address[];
 }
 
-/** Nodes asked at the same time. */
-const parallel = 64;
+/** Nodes that are scraped concurrently. */
+const concurrency = 64;
 
 /** Milliseconds for one node. */
-const patience = 2_000;
+const scrapeTimeout = 2_000;
 
-const reply = z.object({
+const responseSchema = z.object({
   started: z.number(),
   values: z.array(
     z.object({
@@ -41,30 +41,28 @@
 ): Promise<ScrapeResult> {
   const scrapes: Scrape[] = [];
   const unreached: Address[] = [];
-  const waiting = [...nodes];
+  const queue = [...nodes];
 
   async function work(): Promise<void> {
-    for (
-      let node = waiting.shift();
-      node !== undefined;
-      node = waiting.shift()
-    ) {
+    for (let node = queue.shift(); node !== undefined; node = queue.shift()) {
       const scrape = await scrapeNode(node).catch(() => undefined);
       if (scrape === undefined) unreached.push(node);
       else scrapes.push(scrape);
     }
   }
 
-  await Promise.all(Array.from({length: parallel}, work));
+  await Promise.all(Array.from({length: concurrency}, work));
   return {scrapes, unreached};
 }
 
 async function scrapeNode(node: Address): Promise<Scrape | undefined> {
   const url = `http://${node}/metrics/${metricNames.requests}`;
-  const answer = await request(url, {signal: AbortSignal.timeout(patience)});
-  const body: unknown = await answer.body.json();
-  const parsed = reply.safeParse(body);
-  if (answer.statusCode !== 200 || !parsed.success) return undefined;
+  const response = await request(url, {
+    signal: AbortSignal.timeout(scrapeTimeout),
+  });
+  const body: unknown = await response.body.json();
+  const parsed = responseSchema.safeParse(body);
+  if (response.statusCode !== 200 || !parsed.success) return undefined;
   const counts = parsed.data.values.map(({labels, value}) => ({
     service: labels.service,
     policy: labels.policy,
@@ -72,6 +70,6 @@
     verdict: labels.verdict,
     count: value,
   }));
-  // Routes of one service and policy are one line of the report.
+  // The report sums the routes of one service and policy.
   return {node, started: parsed.data.started, counts: mergeCounts(counts)};
 }
--- a/src/burn/table.ts
+++ b/src/burn/table.ts
@@ -8,7 +8,7 @@
   formatShare,
 } from './format.js';
 
-/** The report as text for a terminal. */
+/** Renders the report as text for a terminal. */
 export function renderTable(report: BurnReport): string {
   const lines = [
     `Service-level burn at ${new Date(report.time).toISOString()}`,
@@ -75,10 +75,10 @@
 
 function renderUnreached(nodes: readonly string[]): string[] {
   if (nodes.length === 0) return [];
-  const named = nodes.slice(0, 10).join(', ');
+  const names = nodes.slice(0, 10).join(', ');
   const rest = nodes.length > 10 ? ` and ${nodes.length - 10} more` : '';
   return [
     '',
-    `Not reached, so not counted since their last scrape: ${named}${rest}`,
+    `Not reached, so not counted since their last scrape: ${names}${rest}`,
   ];
 }
