--- a/scripts/bundle-options.test.ts
+++ b/scripts/bundle-options.test.ts
@@ -5,14 +5,14 @@
 import {build} from 'esbuild';
 import type {BuildOptions} from 'esbuild';
 
-interface Loaded {
-  readonly made: () => () => number;
+interface BundleExports {
+  readonly createHandler: () => () => number;
   readonly Failure: new (code: object, message: string) => Error;
 }
 
 const source = `
   export {Failure} from './src/result/failure.ts';
-  export function made() {
+  export function createHandler() {
     return answersRequest;
     function answersRequest() { return 1; }
   }
@@ -29,26 +29,27 @@
   return outputFiles![0]!.text;
 }
 
-function load(text: string): Loaded {
+function load(text: string): BundleExports {
   const module = {exports: {}};
   const require = createRequire(resolve('scripts/build.mjs'));
 
   new Function('module', 'require', text)(module, require);
-  return module.exports as Loaded;
+  return module.exports as BundleExports;
 }
 
-// Each closure of each request was wrapped in a call that sets its name.
-test('the bundle sets no names of functions as they are made', async t => {
+// Guards against `keepNames` of esbuild: it wraps each closure of each request
+// in a call that sets the function's name.
+test('the bundle does not set function names at run time', async t => {
   const text = await bundle();
   t.notRegex(text, /defineProperty\([^()]*,\s*"name"/);
   t.notRegex(text, /__name\b/);
 });
 
-test('the bundle keeps the names that logs tell', async t => {
-  const {made, Failure} = load(await bundle());
-  const failure = new Failure({number: 5000}, 'told');
-  t.is(made().name, 'answersRequest');
+test('the bundle preserves the names that logs show', async t => {
+  const {createHandler, Failure} = load(await bundle());
+  const failure = new Failure({number: 5000}, 'text');
+  t.is(createHandler().name, 'answersRequest');
   t.is(failure.name, 'Failure');
   t.is(failure.constructor.name, 'Failure');
-  t.is(String(failure), 'Failure: told');
+  t.is(String(failure), 'Failure: text');
 });
--- a/scripts/check.sh
+++ b/scripts/check.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# Formatter, linter, build, tests; ends with `N passed, N failed` counted from
-# the run. Tests in KNOWN-RED.txt are printed and passed over, nothing else is.
+# Runs the formatter, the linter, the build and the tests. The last line is
+# `N passed, N failed`, counted from the run. Failures of the tests listed in
+# KNOWN-RED.txt are printed and do not fail the run; all other failures do.
 set -u
 cd "$(dirname "$0")/.." || exit 1
 if ! bash scripts/install.sh; then
@@ -8,7 +9,7 @@
   echo "0 passed, 1 failed"
   exit 1
 fi
-# Compiled tests whose source is gone would run on, and pass.
+# Otherwise compiled tests whose source was deleted would still run and pass.
 rm -rf build
 out=$(mktemp)
 trap 'rm -f "$out"' EXIT
@@ -21,7 +22,7 @@
 if [ "$compile" -eq 0 ]; then
   npm run --silent build
   bundle=$?
-  # The tests with real processes run what ships.
+  # The tests with real processes run the released executable.
   FOXBARROW_BINARY=dist/foxbarrow npm test --silent -- --tap >"$out"
   status=$?
 fi
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -1,8 +1,8 @@
 #!/usr/bin/env bash
-# Installs, builds and runs the demo; exits 0 only if every answer was right.
+# Compiles, builds and runs the demo; exits with 0 only if all answers are correct.
 set -eu
 cd "$(dirname "$0")/.."
 npm run --silent compile
 npm run --silent build
-# What runs is the file that ships.
+# The demo runs the released executable.
 FOXBARROW_BINARY=dist/foxbarrow node build/bench/demo/main.js
--- a/scripts/doc-comments.ts
+++ b/scripts/doc-comments.ts
@@ -1,13 +1,13 @@
 import {readFileSync} from 'node:fs';
 import ts from 'typescript';
 
-/** Doc comments of the properties in a file's object literals and interfaces. */
+/** Doc comments of properties in the object literals and interfaces of a file. */
 export interface DocComments {
-  /** The comment of `key` inside the variable or interface `owner`; empty for none. */
+  /** The comment of `key` in the variable or interface `owner`; empty without one. */
   of(owner: string, key: string): string;
 }
 
-/** Reads them from a file. */
+/** Reads the doc comments of a TypeScript file. */
 export function readDocComments(file: string): DocComments {
   const source = ts.createSourceFile(
     file,
--- a/scripts/docs.test.ts
+++ b/scripts/docs.test.ts
@@ -8,12 +8,12 @@
 
 const advice = 'run `npm run docs` and commit the page';
 
-test('docs/RESULT_CODES.md is what the code says', t => {
+test('docs/RESULT_CODES.md matches the table of result codes', t => {
   const page = readFileSync('docs/RESULT_CODES.md', 'utf8');
   t.is(page, renderResultCodes(resultTable), advice);
 });
 
-test('every result code has its own number, its own name and a meaning', t => {
+test('every result code has a unique number, a unique name and a meaning', t => {
   const numbers = resultTable.map(code => code.number);
   t.deepEqual([...new Set(numbers)], numbers);
   const names = resultTable.map(code => code.name);
@@ -24,7 +24,7 @@
   }
 });
 
-test("every slice's codes are in the table", async t => {
+test('the table contains the codes of every slice', async t => {
   for (const slice of readdirSync('src')) {
     const module = join('src', slice, 'codes.ts');
     if (
@@ -45,12 +45,12 @@
   }
 });
 
-test('docs/SETTINGS.md is what the schema says', t => {
+test('docs/SETTINGS.md matches the schema', t => {
   const page = readFileSync('docs/SETTINGS.md', 'utf8');
   t.is(page, renderSettings(), advice);
 });
 
-test('every setting has its meaning', t => {
+test('every setting has a meaning', t => {
   const rows = renderSettings()
     .split('\n')
     .filter(line => line.startsWith('| `'));
@@ -58,7 +58,7 @@
   for (const row of rows) t.notRegex(row, /\| {2}\|$/, row);
 });
 
-test('every example settings file is good', async t => {
+test('every example settings file is valid', async t => {
   let files = 0;
   for (const deployment of readdirSync('examples')) {
     for (const file of readdirSync(join('examples', deployment))) {
@@ -76,11 +76,11 @@
 test('every source file that docs/CODE.md names exists', t => {
   const page = readFileSync('docs/CODE.md', 'utf8');
   const files = readdirSync('src', {recursive: true}).map(String);
-  const named = [...page.matchAll(/`([\w/-]+\.ts)`/g)].map(match => match[1]!);
-  t.true(named.length > 50);
-  for (const name of named) {
-    const isThere =
+  const names = [...page.matchAll(/`([\w/-]+\.ts)`/g)].map(match => match[1]!);
+  t.true(names.length > 50);
+  for (const name of names) {
+    const isPresent =
       existsSync(name) || files.some(file => `/${file}`.endsWith(`/${name}`));
-    t.true(isThere, name);
+    t.true(isPresent, name);
   }
 });
--- a/scripts/docs.ts
+++ b/scripts/docs.ts
@@ -3,6 +3,6 @@
 import {renderResultCodes} from './result-codes-page.js';
 import {renderSettings} from './settings-page.js';
 
-/** `npm run docs`: writes the pages that are made from the code. */
+/** `npm run docs`: writes the pages that are generated from the code. */
 writeFileSync('docs/RESULT_CODES.md', renderResultCodes(resultTable));
 writeFileSync('docs/SETTINGS.md', renderSettings());
--- a/scripts/examples.mjs
+++ b/scripts/examples.mjs
@@ -10,7 +10,7 @@
     region: 'muscat',
     failureDomains: ['rusayl-a', 'rusayl-b', 'seeb-c'],
     port: 21000,
-    // Control bytes weigh more than convergence time here.
+    // This deployment prefers few control bytes to a short convergence time.
     batchWindow: 1000,
     services: [
       {name: 'stock-desk', instances: 7},
@@ -22,7 +22,7 @@
     region: 'astana',
     failureDomains: ['hall-a', 'hall-b', 'hall-c'],
     port: 22000,
-    // Convergence time weighs more here.
+    // This deployment prefers a short convergence time.
     batchWindow: 20,
     services: [
       {name: 'crewbook', instances: 9},
@@ -42,7 +42,7 @@
   for (const [index, member] of members.entries()) {
     write(folder, member.name, controlSettings(deployment, members, index));
   }
-  let place = 0;
+  let nodeIndex = 0;
   for (const service of deployment.services) {
     for (let number = 1; number <= service.instances; number++) {
       const settings = nodeSettings(
@@ -50,10 +50,10 @@
         members,
         service,
         number,
-        place,
+        nodeIndex,
       );
       write(folder, settings.name, settings);
-      place++;
+      nodeIndex++;
     }
   }
 }
@@ -86,8 +86,8 @@
   };
 }
 
-function nodeSettings(deployment, members, service, number, place) {
-  const port = deployment.port + 100 + place * 10;
+function nodeSettings(deployment, members, service, number, nodeIndex) {
+  const port = deployment.port + 100 + nodeIndex * 10;
   const domains = deployment.failureDomains;
   return {
     role: 'node',
--- a/scripts/import-rules.test.ts
+++ b/scripts/import-rules.test.ts
@@ -7,9 +7,9 @@
 
 const config = '.dependency-cruiser.cjs';
 const order = 'scripts/slices.json';
-const cruise = resolve('node_modules/.bin/depcruise');
+const depcruise = resolve('node_modules/.bin/depcruise');
 
-/** Runs the rules on a tree of its own; resolves with what they print. */
+/** Checks the rules on a temporary source tree; resolves with the output. */
 async function check(files: Readonly<Record<string, string>>) {
   const root = mkdtempSync(join(tmpdir(), 'import-rules-'));
   for (const [path, text] of Object.entries(files)) {
@@ -18,64 +18,64 @@
   }
   for (const file of [config, order]) cpSync(file, join(root, file));
   writeFileSync(join(root, 'tsconfig.json'), '{}');
-  const printed = await new Promise<string>(done => {
-    execFile(cruise, ['src'], {cwd: root}, (_error, stdout) => done(stdout));
+  const output = await new Promise<string>(done => {
+    execFile(depcruise, ['src'], {cwd: root}, (_error, stdout) => done(stdout));
   });
   rmSync(root, {recursive: true});
-  return printed;
+  return output;
 }
 
-const empty = 'export {};\n';
+const emptyModule = 'export {};\n';
 
 interface Violation {
   readonly rule: string;
-  readonly what: string;
+  readonly description: string;
   readonly files: Readonly<Record<string, string>>;
 }
 
 const violations: readonly Violation[] = [
   {
     rule: 'decisions-without-io',
-    what: 'a decision that opens a socket',
+    description: 'a decision module that opens a socket',
     files: {
       'src/request/decisions/a.ts': "import 'node:net';\n",
     },
   },
   {
     rule: 'decisions-without-io',
-    what: 'a decision that sends by itself',
+    description: 'a decision module that imports the transport',
     files: {
       'src/request/decisions/a.ts': "import '../transport/b.js';\n",
-      'src/request/transport/b.ts': empty,
+      'src/request/transport/b.ts': emptyModule,
     },
   },
   {
     rule: 'transport-without-decisions',
-    what: 'a link that chooses its gate',
+    description: 'a transport module that imports a decision',
     files: {
       'src/request/transport/a.ts': "import '../decisions/b.js';\n",
-      'src/request/decisions/b.ts': empty,
+      'src/request/decisions/b.ts': emptyModule,
     },
   },
   {
     rule: 'messages-below-both',
-    what: 'a message that knows its link',
+    description: 'a message module that imports the transport',
     files: {
       'src/request/messages/a.ts': "import '../transport/b.js';\n",
-      'src/request/transport/b.ts': empty,
+      'src/request/transport/b.ts': emptyModule,
     },
   },
   {
     rule: 'time-upwards',
-    what: 'a slice that imports one above it',
+    description: 'a slice that imports a higher slice',
     files: {
       'src/time/a.ts': "import '../node/b.js';\n",
-      'src/node/b.ts': empty,
+      'src/node/b.ts': emptyModule,
     },
   },
   {
     rule: 'no-circle',
-    what: 'two parts that import each other',
+    description: 'two modules that import each other',
     files: {
       'src/time/a.ts': "import type {B} from './b.js';\nexport type A = B;\n",
       'src/time/b.ts': "import type {A} from './a.js';\nexport type B = A;\n",
@@ -83,22 +83,22 @@
   },
 ];
 
-for (const {rule, what, files} of violations) {
-  test(`the linter refuses ${what}`, async t => {
-    const printed = await check(files);
-    t.true(printed.includes(`error ${rule}`), printed);
+for (const {rule, description, files} of violations) {
+  test(`the linter refuses ${description}`, async t => {
+    const output = await check(files);
+    t.true(output.includes(`error ${rule}`), output);
   });
 }
 
-test('a decision that keeps to values passes', async t => {
-  const printed = await check({
+test('a decision module that imports only messages passes', async t => {
+  const output = await check({
     'src/request/decisions/a.ts': "import '../messages/b.js';\n",
-    'src/request/messages/b.ts': empty,
+    'src/request/messages/b.ts': emptyModule,
   });
-  t.true(printed.includes('no dependency violations'), printed);
+  t.true(output.includes('no dependency violations'), output);
 });
 
-test('each slice has its place in the order', async t => {
+test('the order of slices lists every folder of src', async t => {
   const slices = JSON.parse(await readFile(order, 'utf8')) as string[];
   const folders = await readdir('src');
   t.deepEqual([...slices].sort(), folders.sort());
--- a/scripts/install-checker.sh
+++ b/scripts/install-checker.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Installs spin and gcc, which search the models, unless they are there already.
+# Installs spin and gcc, which check the models, unless they are installed.
 set -eu
 if command -v spin >/dev/null 2>&1 && command -v gcc >/dev/null 2>&1; then
   exit 0
--- a/scripts/install.sh
+++ b/scripts/install.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Installs the packages of the lock file unless they are there already.
+# Installs the packages of the lock file unless node_modules is up to date.
 set -eu
 cd "$(dirname "$0")/.."
 if [ ! -d node_modules ] || [ package-lock.json -nt node_modules/.package-lock.json ]; then
--- a/scripts/promises.test.ts
+++ b/scripts/promises.test.ts
@@ -2,15 +2,15 @@
 import test from 'ava';
 import {checks} from '../model/checks.js';
 
-interface Named {
+interface TestReference {
   readonly file: string;
   readonly title: string;
 }
 
 const page = readFileSync('docs/PROMISES.md', 'utf8');
 
-/** Lines such as: - `src/slice/part.test.ts` the title of a test */
-function readNamed(): Named[] {
+/** Reads lines of the form: - `src/slice/part.test.ts` the title of a test */
+function readReferences(): TestReference[] {
   return page
     .split('\n')
     .map(line => /^- `([^`]+)` (.+)$/.exec(line))
@@ -18,7 +18,7 @@
     .map(([, file, title]) => ({file: file!, title: title!}));
 }
 
-/** Titles of tests, scenarios or model checks in a file, as written there. */
+/** Titles of the tests, scenarios or model checks in a file, as in its source. */
 function titlesIn(file: string): string[] {
   const text = readFileSync(file, 'utf8');
   if (file === 'model/checks.ts') return checks.map(({name}) => name);
@@ -34,9 +34,9 @@
 }
 
 test('every test that the page of promises names exists', t => {
-  const named = readNamed();
-  t.true(named.length > 80);
-  for (const {file, title} of named) {
+  const references = readReferences();
+  t.true(references.length > 80);
+  for (const {file, title} of references) {
     t.true(existsSync(file), file);
     if (!existsSync(file)) continue;
     t.true(titlesIn(file).includes(title), `${file}: ${title}`);
--- a/scripts/result-codes-page.ts
+++ b/scripts/result-codes-page.ts
@@ -1,18 +1,18 @@
 import type {Code} from '../src/result/code.js';
 
-/** Makes docs/RESULT_CODES.md from the table of result codes. */
+/** Generates docs/RESULT_CODES.md from the table of result codes. */
 
 const head = `# Result codes
 
-Made from \`src/admin/result-table.ts\` by \`npm run docs\`; a test keeps it so. Every refusal, answer and log line of the program names one of these numbers. A number is never reused for another meaning.
+Generated from \`src/admin/result-table.ts\` by \`npm run docs\`; a test checks that the page is current. Every refusal, answer and log line of the program contains one of these numbers. A number is never reused for another meaning.
 
-\`effect\` says what is known of the work:
+\`effect\` says whether the work ran:
 
-- \`done\`: it ran, once, and the answer is whole.
-- \`not-run\`: no part of it began; sending it again is safe.
-- \`unknown\`: it may have begun; only an idempotent resend, or one under the same idempotency key or command id, is safe.
+- \`done\`: it ran once, and the answer is complete.
+- \`not-run\`: no part of it began; a resend is safe.
+- \`unknown\`: it may have begun; a resend is safe only if the request is idempotent or has the same idempotency key or command id.
 
-\`HTTP\` is the status that carries the code to a caller, where one does.
+\`HTTP\` is the status of the response that carries the code to a caller, if any.
 
 `;
 
@@ -27,7 +27,7 @@
   {from: 8000, title: 'Administration and reports'},
 ] as const;
 
-/** The page's text. */
+/** Renders the page. */
 export function renderResultCodes(table: readonly Code[]): string {
   const parts = ranges.map(({from, title}) => {
     const codes = table.filter(
@@ -47,5 +47,5 @@
     code =>
       `| ${code.number} | \`${code.name}\` | ${code.effect} | ${code.status} | ${code.meaning.replaceAll('|', '\\|')} |\n`,
   );
-  return `## ${title}: ${from} to ${from + 999}\n\n| number | name | effect | HTTP | meaning, and what to do |\n|---|---|---|---|---|\n${rows.join('')}`;
+  return `## ${title}: ${from} to ${from + 999}\n\n| number | name | effect | HTTP | meaning and action |\n|---|---|---|---|---|\n${rows.join('')}`;
 }
--- a/scripts/settings-page.ts
+++ b/scripts/settings-page.ts
@@ -7,24 +7,24 @@
 import {readDocComments} from './doc-comments.js';
 import type {DocComments} from './doc-comments.js';
 
-/** Makes docs/SETTINGS.md from the schema and its doc comments. */
+/** Generates docs/SETTINGS.md from the schema and its doc comments. */
 
 const schemaFile = 'src/settings/schema.ts';
 const limitsFile = 'src/configuration/limits.ts';
 
 const head = `# Settings
 
-Made from \`src/settings/schema.ts\` by \`npm run docs\`; a test keeps it so. Each process reads one JSON file: \`foxbarrow control FILE\`, \`foxbarrow relay FILE\`, \`foxbarrow node FILE\`. \`foxbarrow check-settings FILE\` checks one without starting anything. Unknown keys, wrong types, missing addresses and two listeners on one port are refused with one line that names the file, the key and what is allowed, and exit code 2. Times are in milliseconds, sizes in bytes. Addresses are an IP number and a port. Whole sets for two deployments are under \`examples/\`.
+Generated from \`src/settings/schema.ts\` by \`npm run docs\`; a test checks that the page is current. Each process reads one JSON file: \`foxbarrow control FILE\`, \`foxbarrow relay FILE\`, \`foxbarrow node FILE\`. \`foxbarrow check-settings FILE\` checks a file without starting a process. Unknown keys, wrong types, missing addresses and two listeners on one port are refused with exit code 2 and one line that names the file, the key and the allowed values. Times are in milliseconds, sizes in bytes. An address is an IP address and a port. Complete settings of two deployments are under \`examples/\`.
 `;
 
 interface Section {
   readonly title: string;
   readonly shape: z.ZodRawShape;
-  /** Variables or interfaces where the keys are declared. */
+  /** Variables or interfaces that declare the keys. */
   readonly owners: readonly string[];
 }
 
-/** The page's text. */
+/** Renders the page. */
 export function renderSettings(): string {
   const comments = readDocComments(schemaFile);
   const limits = readDocComments(limitsFile);
@@ -39,7 +39,7 @@
       'upstream',
     ]),
   ];
-  const parts = sections.map(one => renderSection(one, comments));
+  const parts = sections.map(each => renderSection(each, comments));
   const limitSection = section('Limits', controlSchema.shape.limits, [
     'Limits',
     'Bounds',
@@ -66,13 +66,13 @@
       .map(owner => comments.of(owner, key))
       .find(text => text !== '');
     const {core, fallback, isOptional} = unwrap(schema);
-    const need =
+    const defaultText =
       fallback === undefined
         ? isOptional
           ? 'optional'
           : 'required'
         : `\`${JSON.stringify(fallback)}\``;
-    return `| \`${key}\` | ${describe(core)} | ${need} | ${comment ?? ''} |\n`;
+    return `| \`${key}\` | ${describe(core)} | ${defaultText} | ${comment ?? ''} |\n`;
   });
   return `## ${title}\n\n| key | value | default | meaning |\n|---|---|---|---|\n${rows.join('')}`;
 }
@@ -97,7 +97,7 @@
   return {core: schema, fallback: undefined, isOptional: false};
 }
 
-/** An address is the one string with a check of its own. */
+/** Whether a schema is an address, which is the only string with a refinement. */
 function isAddress(schema: z.ZodTypeAny): boolean {
   return (
     schema instanceof z.ZodEffects && schema.innerType() instanceof z.ZodString
@@ -108,7 +108,9 @@
   if (isAddress(schema)) return 'address';
   if (schema instanceof z.ZodLiteral) return `\`"${schema.value}"\``;
   if (schema instanceof z.ZodEnum) {
-    return (schema.options as string[]).map(one => `\`"${one}"\``).join(', ');
+    return (schema.options as string[])
+      .map(option => `\`"${option}"\``)
+      .join(', ');
   }
   if (schema instanceof z.ZodUnion) {
     return (schema.options as z.ZodTypeAny[]).map(describe).join(', or ');
@@ -123,18 +125,21 @@
   if (schema instanceof z.ZodNumber) return describeNumber(schema);
   if (schema instanceof z.ZodString) return describeString(schema);
   if (schema instanceof z.ZodBoolean) return 'true or false';
-  throw new Error(`settings page: no words for ${schema.constructor.name}`);
+  throw new Error(
+    `settings page: no description for ${schema.constructor.name}`,
+  );
 }
 
 function describeNumber(schema: z.ZodNumber): string {
   const kind = schema.isInt ? 'whole number' : 'number';
-  const least = schema.minValue === null ? '' : `, at least ${leastOf(schema)}`;
-  const most = schema.maxValue === null ? '' : `, at most ${schema.maxValue}`;
-  return `${kind}${least}${most}`;
+  const min =
+    schema.minValue === null ? '' : `, at least ${inclusiveMin(schema)}`;
+  const max = schema.maxValue === null ? '' : `, at most ${schema.maxValue}`;
+  return `${kind}${min}${max}`;
 }
 
-/** A positive whole number is written as more than 0 in the schema. */
-function leastOf(schema: z.ZodNumber): number {
+/** The inclusive minimum; the schema defines a positive integer as more than 0. */
+function inclusiveMin(schema: z.ZodNumber): number {
   const check = schema._def.checks.find(check => check.kind === 'min');
   const isExclusive = check?.kind === 'min' && !check.inclusive;
   return (schema.minValue ?? 0) + (isExclusive ? 1 : 0);
@@ -144,6 +149,8 @@
   const checks = schema._def.checks;
   if (checks.some(check => check.kind === 'regex')) return 'name';
   if (checks.some(check => check.kind === 'startsWith')) return 'path';
-  const least = schema.minLength;
-  return least === null || least < 2 ? 'text' : `text of at least ${least}`;
+  const minLength = schema.minLength;
+  return minLength === null || minLength < 2
+    ? 'text'
+    : `text of at least ${minLength}`;
 }
--- a/scripts/undici-client.cjs
+++ b/scripts/undici-client.cjs
@@ -1,6 +1,6 @@
-// The parts of undici that the program uses, for the bundle. The package's
-// entry loads its fetch, cache, WebSocket and mock parts too, and a node would
-// hold them for life. The names are those of the package's own entry.
+// The parts of undici that foxbarrow uses, for the bundle. The entry module of
+// the package also loads fetch, cache, WebSocket and mocks, which would take
+// memory in every node. The exported names are those of that entry module.
 const Agent = require('undici/lib/dispatcher/agent.js');
 const Client = require('undici/lib/dispatcher/client.js');
 const buildConnector = require('undici/lib/core/connect.js');
--- a/scripts/undici-client.test.ts
+++ b/scripts/undici-client.test.ts
@@ -3,7 +3,7 @@
 import {join, resolve} from 'node:path';
 import test from 'ava';
 
-/** Names that the product imports from undici at run time. */
+/** Names that the source imports from undici at run time. */
 async function importedNames(): Promise<Set<string>> {
   const names = new Set<string>();
   const files = await readdir('src', {recursive: true});
@@ -17,10 +17,10 @@
   return names;
 }
 
-// What the caller sees: 500 on each request, from the binary only. Order: a
-// module imports one more name from undici; the bundle's own entry to undici
-// does not have it; modules run by Node.js load the whole package and work.
-test('the bundle has each part of undici that the program uses', async t => {
+// Guards against a 500 for each request that occurs only in the executable: a
+// module imports one more name from undici, which scripts/undici-client.cjs lacks.
+// Modules that Node.js runs directly load the whole package and work.
+test('the bundle contains each part of undici that the source uses', async t => {
   const load = createRequire(resolve('scripts/undici-client.cjs'));
   const parts = load('./undici-client.cjs') as Record<string, unknown>;
   const names = await importedNames();
