--- a/model/checks.ts
+++ b/model/checks.ts
@@ -1,32 +1,32 @@
-/** What spin is asked: each claim at its bounds, each mutant, each witness. */
+/** The model checks for spin: invariants with their bounds, mutants, witnesses. */
 
-/** Numbers, and switches that are on, by their names in the specification. */
+/** Macros of a specification by name: a number, or true for a switch. */
 export interface Bounds {
   readonly [name: string]: number | boolean;
 }
 
-/** One question to spin. */
+/** One model check. */
 export interface Check {
-  /** Unique; a mutant's says which safeguard is taken out. */
+  /** Unique name; that of a mutant says which safeguard is removed. */
   readonly name: string;
   readonly specification: 'consensus' | 'claims' | 'meeting' | 'trials';
   readonly bounds: Bounds;
   /**
-   * - `holds`: no reachable state breaks a claim; all states are searched.
-   * - `refuted`: without the safeguard spin finds a broken claim.
-   * - `reached`: not a claim; the good end is reachable, so that the claims do
-   *   not hold merely because nothing happens.
+   * - `holds`: no reachable state violates an invariant; all states are searched.
+   * - `refuted`: without the safeguard spin finds a violated invariant.
+   * - `reached`: not an invariant; the intended final state is reachable, so the
+   *   invariants do not hold only because nothing happens.
    */
   readonly expected: 'holds' | 'refuted' | 'reached';
-  /** Part of the assertion that must break, as spin prints it. */
+  /** Part of the assertion that must be violated, as spin prints it. */
   readonly assertion?: string;
 }
 
-const leaders = 'leaderOf';
+const oneLeader = 'leaderOf';
 const acceptedEntry = 'accepted';
-const floor = 'roundIndex>=owed';
-const runs = 'runs<=1';
-const everyMet = 'met[0]';
+const minimumVersion = 'roundIndex>=owed';
+const atMostOneRun = 'runs<=1';
+const hasMetAll = 'met[0]';
 const noMoreStarts = 'starts<=trials';
 
 const small = {TERMS: 2, LENGTH: 2};
@@ -42,10 +42,10 @@
   STARTED: true,
   APART: true,
 };
-const unasked = {...threeSets, EARLY: true};
+const earlySets = {...threeSets, EARLY: true};
 
-/** The claims, each at bounds that a search exhausts in under a minute. */
-const claims: readonly Check[] = [
+/** The invariants, with bounds that a search exhausts in under a minute. */
+const invariants: readonly Check[] = [
   hold('election and commit', {TERMS: 4, LENGTH: 2}),
   hold('unsynced entries lost in crashes', {
     TERMS: 3,
@@ -77,7 +77,7 @@
   holdClaims('keyed work, one keeper set', {EPOCHS: 1, ATTEMPTS: 3}),
   holdClaims('keyed work, handover, two keepers lost', {EPOCHS: 2, DEATHS: 2}),
   holdClaims('keyed work, two handovers', threeSets),
-  holdClaims('keyed work, sets named without asking the last', unasked),
+  holdClaims('keyed work, sets named without asking the last', earlySets),
   holdMeeting('who stands ready is met, two members lost', {LOSSES: 2}),
   holdMeeting('who stands ready is met, one of them joins', {
     LOSSES: 2,
@@ -90,26 +90,26 @@
 ];
 
 const mutants: readonly Check[] = [
-  refute('VOTE_TWICE', small, leaders),
+  refute('VOTE_TWICE', small, oneLeader),
   refute('NO_LOG_CHECK', small, acceptedEntry),
   refute('COMMIT_OLD_TERM', {TERMS: 4, LENGTH: 2}, acceptedEntry),
   refute('CROSSED_APPEND', small, acceptedEntry),
   refute('ACK_BEFORE_SYNC', {...small, SYNC: true}, acceptedEntry),
-  refute('NO_IDENTITY', disks, leaders),
+  refute('NO_IDENTITY', disks, oneLeader),
   refute('SWAP_IN_ONE_STEP', replacement, acceptedEntry),
-  refute('TWO_CHANGES', replacement, leaders),
-  refute('CHANGE_BEFORE_OWN_COMMIT', halfReplaced, leaders),
-  refute('JOIN_RUNNING_ROUND', proxy, floor),
-  refute('FLOOR_BEFORE_OWN_COMMIT', proxy, floor),
-  refute('NO_QUORUM_ROUND', proxy, floor),
+  refute('TWO_CHANGES', replacement, oneLeader),
+  refute('CHANGE_BEFORE_OWN_COMMIT', halfReplaced, oneLeader),
+  refute('JOIN_RUNNING_ROUND', proxy, minimumVersion),
+  refute('FLOOR_BEFORE_OWN_COMMIT', proxy, minimumVersion),
+  refute('NO_QUORUM_ROUND', proxy, minimumVersion),
   refuteClaims('MINORITY_GRANTS', {...handover, DEATHS: 0}),
   refuteClaims('RELEASE_AFTER_RUN', {EPOCHS: 1, SILENT: true}),
   refuteClaims('NO_INCARNATION', handover),
   refuteClaims('NO_HANDOVER', handover),
   refuteClaims('SEAL_KEEPS_VOTING', handover),
   refuteClaims('ONE_SEAL_IS_ENOUGH', handover),
-  refuteClaims('SKIP_FORGETS', unasked),
-  refuteClaims('NO_ACTIVE_NEEDED', unasked),
+  refuteClaims('SKIP_FORGETS', earlySets),
+  refuteClaims('NO_ACTIVE_NEEDED', earlySets),
   refuteMeeting('SETTINGS_ONLY'),
   refuteMeeting('OUTSIDERS_SILENT'),
   refuteTrials('ANY_LIFE'),
@@ -130,8 +130,12 @@
   {...reach('TRIED', {TRIALS: 3, LIVES: 3}, 'starts'), specification: 'trials'},
 ];
 
-/** All checks, the quick ones last. */
-export const checks: readonly Check[] = [...claims, ...mutants, ...witnesses];
+/** All checks; the fast ones are last. */
+export const checks: readonly Check[] = [
+  ...invariants,
+  ...mutants,
+  ...witnesses,
+];
 
 function hold(name: string, bounds: Bounds): Check {
   return {name, specification: 'consensus', bounds, expected: 'holds'};
@@ -160,11 +164,11 @@
 }
 
 function refuteClaims(mutant: string, bounds: Bounds): Check {
-  return {...refute(mutant, bounds, runs), specification: 'claims'};
+  return {...refute(mutant, bounds, atMostOneRun), specification: 'claims'};
 }
 
 function refuteMeeting(mutant: string): Check {
-  const check = refute(mutant, {LOSSES: 0}, everyMet);
+  const check = refute(mutant, {LOSSES: 0}, hasMetAll);
   return {...check, specification: 'meeting'};
 }
 
--- a/model/claims.pml
+++ b/model/claims.pml
@@ -1,24 +1,25 @@
 /*
- * Idempotency claims: work with one key runs at most once, while keepers
- * restart with empty memories, gates die, and keeper sets follow each other.
+ * Idempotency claims: work with one key runs at most once, although keepers
+ * restart without state, gates are killed, and keeper sets are replaced.
  * docs/design/model.md maps each step to the code and states the abstractions.
  *
- * One key. A life is one life of a keeper's node; lives 0 to 2 are the set of
- * epoch 1, each later epoch replaces one life by a new, empty one. An attempt
- * is one gate that wants to run the key's work. Messages may be lost, doubled
- * and late: a step that sends and receives stands for any delivery.
+ * There is one key. A life is one incarnation of a keeper's node. Lives 0 to 2
+ * are the keeper set of epoch 1; each later epoch replaces one life by a new,
+ * empty one. An attempt is one gate that tries to run the key's work. Messages
+ * may be lost, duplicated and delayed: a step that sends and receives represents
+ * any delivery.
  *
  * Bounds, set by the runner:
  *   EPOCHS    keeper sets, 1 to 3
  *   ATTEMPTS  gates that try to run the work, 2 or 3
  *   DEATHS    lives of keepers that may end
- *   SILENT    the end of a run is told to nobody: its gate dies
- *   STARTED   the keepers of epoch 1 hold claims in it from the start
- *   EARLY     sets are named before the last one holds claims (EPOCHS 3)
+ *   SILENT    the gate is killed during a run and reports its end to no keeper
+ *   STARTED   the keepers of epoch 1 are active in it from the start
+ *   EARLY     sets are assigned before the previous one is active (EPOCHS 3)
  *   APART     attempt 0 asks the last set only, attempt 1 the first only
- * Without loss of generality (lives, then attempts, are alike at the start):
- * life 0 is the first to leave, the next is 1 or a newcomer, and attempt 0 is
- * the first to run.
+ * Without loss of generality (lives are interchangeable at the start, and so are
+ * attempts): life 0 is the first to leave, the next one is 1 or a new life, and
+ * attempt 0 is the first to run.
  */
 #ifndef EPOCHS
 #define EPOCHS 2
@@ -38,41 +39,41 @@
 #define SIZE(mask) (HAS_BIT(mask, 0) + HAS_BIT(mask, 1) + HAS_BIT(mask, 2) + \
   HAS_BIT(mask, 3) + HAS_BIT(mask, 4))
 
-/* Stages of a keeper. */
+/* States of a keeper, the values of `stage`. */
 #define IDLE 0
 #define SYNCING 1
 #define ACTIVE 2
 #define SEALED 3
 
-/* Courses of an attempt. */
+/* States of an attempt, the values of `course`. */
 #define ASKING 0
 #define RUNNING 1
 #define OVER 2
 
-/* A keeper's memory. */
+/* State of a keeper. */
 bool dead[LIVES];
 byte stage[LIVES];
 byte epoch[LIVES];
 byte activeEpoch[LIVES];
 byte sealedEpoch[LIVES];
-byte holders[LIVES];   /* attempts that have the key here, one bit each */
-bool settled[LIVES];   /* knows that the work ran */
+byte holders[LIVES];   /* attempts that hold the key here, one bit each */
+bool settled[LIVES];   /* has recorded that the work ran */
 
-/* What a syncing keeper has got from its predecessors. */
-byte whole[LIVES];     /* members that handed over, one bit a life */
+/* What a syncing keeper has received from the previous set. */
+byte whole[LIVES];     /* members that handed over, one bit per life */
 bool fromActive[LIVES];
 
-/* A gate's attempt. */
+/* State of a gate's attempt. */
 byte course[ATTEMPTS];
 byte asked[ATTEMPTS];  /* the epoch whose members it asks */
 byte votes[ATTEMPTS];
 
-/* The configuration: members of each epoch, one bit a life. */
+/* The configuration: members of each epoch, one bit per life. */
 byte members[EPOCHS + 1];
 byte newest;
 byte deaths;
 
-/* What an observer outside counts; the claim speaks of it. */
+/* Counted by an outside observer, for the invariant. */
 byte runs;
 
 #define IS_MEMBER(l, e) HAS_BIT(members[e], l)
@@ -97,7 +98,7 @@
   fi
 }
 
-/* A keeper learns of an epoch; its own claims are its first handover. */
+/* A keeper receives an epoch; its own claims count as the first handover. */
 inline adopt(l, e) {
   epoch[l] = e;
   clearHandover(l);
@@ -105,7 +106,7 @@
   :: !IS_MEMBER(l, e) -> stage[l] = SEALED
   :: else ->
 #ifdef MUTANT_SKIP_FORGETS
-    /* Claims of an epoch before the one that it skipped seem of no use. */
+    /* Wrongly treats claims from before a skipped epoch as obsolete. */
     if
     :: e > 1 && activeEpoch[l] < e - 1 -> forget(l)
     :: else
@@ -127,8 +128,8 @@
 }
 
 /*
- * The keeper p ends the epoch before that of l, hands over its claims, and
- * learns of the epoch of l by the way.
+ * The keeper p seals the epoch before that of l, hands over its claims, and
+ * learns the epoch of l from the request.
  */
 inline seal(l, p) {
   if
@@ -177,7 +178,7 @@
 #define WON(c) (SIZE(votes[c]) >= MAJORITY)
 #endif
 
-/* A set is named only once a majority of the one before holds claims in it. */
+/* A set is assigned only when a majority of the previous set is active in it. */
 #define HOLDS_CLAIMS(l) \
   (IS_MEMBER(l, newest) && stage[l] == ACTIVE && epoch[l] == newest)
 #if EPOCHS == 1
@@ -190,7 +191,7 @@
   HOLDS_CLAIMS(3) + HOLDS_CLAIMS(4) >= MAJORITY)
 #endif
 
-/* The next epoch: l leaves, a new life joins. */
+/* The next epoch: l leaves and a new life joins. */
 #define APPOINT(l) \
   :: atomic { newest > 0 && newest < EPOCHS && IS_MEMBER(l, newest) && \
      (newest > 1 || l == 0) && l != 2 && IN_FORCE -> \
@@ -199,14 +200,14 @@
        members[newest] = (members[newest - 1] & ~(1 << (l))) | \
          (1 << (FIRST_LIVES + newest - 2)) } }
 
-/* A life that is not yet named can't know an epoch. */
+/* A life that is not yet in a set can't receive an epoch. */
 #define IS_BORN(l) ((l) < FIRST_LIVES || newest >= (l) - FIRST_LIVES + 2)
 #define ADOPT(l, e) \
   :: atomic { !dead[l] && IS_BORN(l) && newest >= e && epoch[l] < e && \
      (epoch[l] > 0 || IS_MEMBER(l, e)) -> \
      d_step { adopt(l, e); skip } }
 #ifdef MUTANT_NO_INCARNATION
-/* A restarted keeper answers for the life before, whose claims it lost. */
+/* A restarted keeper is taken for its previous life, whose claims it lost. */
 #define DIE(l) \
   :: atomic { !dead[l] && epoch[l] > 0 && deaths < DEATHS -> \
      d_step { \
@@ -232,7 +233,7 @@
   :: atomic { !dead[l] && stage[l] == SYNCING && epoch[l] > 1 && \
      ENOUGH_SEALED(l) -> d_step { takeOver(l); skip } }
 
-/* A gate learns of an epoch and asks its members anew. */
+/* A gate receives an epoch and asks the members of that epoch. */
 #ifdef APART
 #define ASK(c, e)
 #else
@@ -247,7 +248,7 @@
      d_step { \
        holders[l] = holders[l] | (1 << c); \
        votes[c] = votes[c] | (1 << l) } }
-/* Claim: the work runs at most once. */
+/* Invariant: the work runs at most once. */
 #define RUN(c) \
   :: atomic { course[c] == ASKING && WON(c) && (c == 0 || runs > 0) -> \
      d_step { \
@@ -256,7 +257,7 @@
        WITNESS_RAN(c) \
        course[c] = RUNNING; \
        votes[c] = 0 } }
-/* The gate dies, or gives up while it asks: it never runs. Two must be left. */
+/* The gate is killed or gives up before the run. Two others must remain. */
 #if ATTEMPTS > 2
 #define GIVE_UP(c) \
   :: atomic { c == 2 && course[c] == ASKING -> \
@@ -264,18 +265,18 @@
 #else
 #define GIVE_UP(c)
 #endif
-/* A gate that gave up frees the key at one keeper after the other. */
+/* A gate that gave up releases the key at each keeper in turn. */
 #define RELEASE(c, l) \
   :: atomic { course[c] == OVER && !dead[l] && HAS_BIT(holders[l], c) -> \
      holders[l] = holders[l] & ~(1 << c) }
 #ifdef MUTANT_RELEASE_AFTER_RUN
-/* The run's end is told as if nothing had begun. */
+/* The end of the run is reported as if nothing had begun. */
 #define END_RUN(c) \
   :: atomic { course[c] == RUNNING -> course[c] = OVER }
 #else
 #define END_RUN(c)
 #endif
-/* The run's end, whatever it was, reaches one keeper after the other. */
+/* The end of the run, whatever its result, reaches each keeper in turn. */
 #ifdef SILENT
 #define SETTLE(c, l)
 #else
@@ -284,7 +285,7 @@
      !settled[l] -> d_step { settled[l] = true; holders[l] = 0 } }
 #endif
 #ifdef WITNESS_RUN_IN_LAST_EPOCH
-/* Not a claim: shows that a key can be claimed after all handovers. */
+/* Not an invariant: shows that a key can be claimed after all handovers. */
 #define WITNESS_RAN(c) assert(asked[c] != EPOCHS);
 #else
 #define WITNESS_RAN(c)
@@ -311,7 +312,7 @@
     newest = 1;
     members[1] = 7;
 #ifdef EARLY
-    /* Everyone learns late anyway, so all sets may as well be there. */
+    /* Epochs may be received late anyway, so all sets can exist from the start. */
     newest = 3;
     members[2] = 14;
     members[3] = 28;
--- a/model/consensus.pml
+++ b/model/consensus.pml
@@ -1,24 +1,23 @@
 /*
- * The control group's core protocol: election, replication, commit, lost
- * disks, changes of the membership, and the version floor of a restarting
- * proxy. docs/design/model.md maps each step to the code and states the
- * abstractions.
+ * The core protocol of the control group: election, replication, commit, lost
+ * disks, membership changes, and the minimum version of a restarting proxy.
+ * docs/design/model.md maps each step to the code and states the abstractions.
  *
  * A storage is one data folder with its identity. Storages 0 to 2 are the
- * first voters; each later one is empty when it starts and joins in place of a
- * lost disk or of a member that operators replace. Messages may be lost,
- * doubled and late: a step that sends and receives stands for any delivery.
+ * first voters; each later one is empty when it starts and replaces a lost disk
+ * or a member that operators replace. Messages may be lost, duplicated and
+ * delayed: a step that sends and receives represents any delivery.
  *
  * Bounds, set by the runner:
  *   TERMS     highest term
- *   LENGTH    entries in a log at most
+ *   LENGTH    maximum number of entries in a log
  *   JOINS     storages that may join, 0 to 2
- *   SYNC      appends may stay unsynced, and a crash loses these
- *   LOSSES    disks that may be lost, one after the other's repair
- *   REPLACE   joins replace living members; otherwise each follows a lost disk
- *   CHANGING  storage 3 is a voter from the start: a replacement half done
- *   RESTARTS  starts of the proxy; 0 leaves the proxy out
- *   FIRST     only storage 0 stands before it heard of any term
+ *   SYNC      appended entries may be unsynced, and a crash loses these
+ *   LOSSES    disks that may be lost, each one after the repair of the last
+ *   REPLACE   a join replaces a running member; otherwise it follows a lost disk
+ *   CHANGING  storage 3 is a voter from the start: a replacement in progress
+ *   RESTARTS  starts of the proxy; 0 omits the proxy
+ *   FIRST     only storage 0 starts an election while its term is 0
  */
 #ifndef TERMS
 #define TERMS 3
@@ -45,14 +44,14 @@
 #define CANDIDATE 1
 #define LEADER 2
 
-/* Lives of a storage. */
+/* States of a storage, the values of `life`. */
 #define UNUSED 0
 #define RUNNING 1
 #define GONE 2
 
 /*
- * An entry is its term and, when it is one of membership, the voters that it
- * names, one bit a storage. Zero is no entry.
+ * An entry consists of its term and, if it changes the membership, the voters,
+ * one bit per storage. Zero means no entry.
  */
 #define ENTRY(t, voters) ((t) * 32 + (voters))
 #define TERM_OF(entry) ((entry) / 32)
@@ -63,7 +62,7 @@
 #define FOUNDERS 7
 #endif
 
-/* What a storage holds, and what its process remembers while it lives. */
+/* Stored state of a storage, and memory of its running process. */
 byte life[STORAGES];
 byte term[STORAGES];
 byte votedFor[STORAGES];            /* candidate + 1 in this term; 0 for none */
@@ -71,7 +70,7 @@
 byte entries[STORAGES * LENGTH];
 byte voters[STORAGES];              /* newest membership in the log */
 byte role[STORAGES];
-byte votes[STORAGES];               /* a candidate's votes, one bit a storage */
+byte votes[STORAGES];               /* a candidate's votes, one bit per storage */
 byte commit[STORAGES];              /* a leader's commit index */
 byte matched[STORAGES * STORAGES];  /* a leader's view of synced prefixes */
 #ifdef SYNC
@@ -81,20 +80,20 @@
 #define SYNCED(i) length[i]
 #endif
 
-/* What an observer outside knows; the claims speak of it. */
+/* Recorded by an outside observer, for the invariants. */
 byte leaderOf[TERMS + 1];           /* leader + 1 of each term */
-byte accepted[LENGTH];              /* entries answered as accepted */
+byte accepted[LENGTH];              /* entries that were answered as accepted */
 byte acceptedIn[LENGTH];            /* the term whose leader accepted each */
 byte acceptedLength;
 byte lost;                          /* disks lost so far */
-byte joined;                        /* storages that have started to join */
+byte joined;                        /* storages that have begun to join */
 byte repairing = NOBODY;            /* the join that is not yet complete */
 
 #if RESTARTS > 0
-/* The proxy and the leader's quorum round that proves it fresh. */
+/* The proxy, and the leader's quorum round that proves freshness to it. */
 byte restarts;
-bool asking;                        /* the proxy waits for its floor */
-byte owed;                          /* accepted when this life began */
+bool asking;                        /* the proxy waits for its minimum version */
+byte owed;                          /* accepted length when the proxy started */
 byte roundLeader = NOBODY;
 byte roundTerm;
 byte roundIndex;
@@ -131,7 +130,7 @@
   od
 }
 
-/* The newest membership in the log counts, committed or not. */
+/* The newest membership in the log is in use, whether committed or not. */
 inline readMembership(j) {
   voters[j] = FOUNDERS;
   n = 0;
@@ -146,7 +145,7 @@
   od
 }
 
-/* A higher term ends whatever j was. */
+/* A higher term makes j a follower. */
 inline enterTerm(j, t) {
   if
   :: term[j] < t -> term[j] = t; votedFor[j] = 0; stepDown(j)
@@ -169,9 +168,10 @@
 }
 
 /*
- * Claims: one leader a term, and it holds all that earlier terms accepted. (A
- * late leader of an old term may lack what a later one accepted; it can then
- * commit nothing, which accept checks.)
+ * Invariants: a term has one leader, and its log contains all entries that were
+ * accepted in earlier terms. (A delayed leader of an old term may lack entries
+ * that were accepted in a later term; it must not commit anything then, which
+ * `accept` checks.)
  */
 inline lead(i) {
   role[i] = LEADER;
@@ -194,7 +194,7 @@
   readMembership(i)
 }
 
-/* Sends the entry at k; the receiver checks the one before it. */
+/* Sends the entry at k; the receiver checks the preceding entry. */
 inline append(i, j, k) {
   enterTerm(j, term[i]);
   if
@@ -203,7 +203,7 @@
   fi;
   if
 #ifdef MUTANT_CROSSED_APPEND
-  /* A late append with nothing new cuts what came after it. */
+  /* A delayed append without new entries truncates the entries after it. */
   :: length[j] > k + 1 || AT(j, k) != AT(i, k) ->
 #else
   :: AT(j, k) != AT(i, k) ->
@@ -226,7 +226,7 @@
   fi
 }
 
-/* A synced prefix is acknowledged; the leader keeps the longest. */
+/* Acknowledges a synced prefix; the leader records the longest one. */
 inline acknowledge(i, j, k) {
 #ifdef SYNC
 #ifndef MUTANT_ACK_BEFORE_SYNC
@@ -239,7 +239,7 @@
   fi
 }
 
-/* Claim: an index is accepted once and never with another entry. */
+/* Invariant: an index is never accepted with two different entries. */
 inline accept(i) {
   commit[i]++;
   a = commit[i] - 1;
@@ -251,14 +251,14 @@
     acceptedLength = commit[i]
   :: else
   fi;
-  /* A repair is complete once the membership with the newcomer is accepted. */
+  /* A repair is complete when the membership with the new storage is accepted. */
   if
   :: repairing != NOBODY && HAS_BIT(VOTERS_OF(AT(i, a)), repairing) ->
     repairing = NOBODY
   :: else
   fi;
 #ifdef WITNESS_SECOND_LOSS
-  /* Not a claim: shows that the group goes on after the second loss. */
+  /* Not an invariant: shows that the group makes progress after the second loss. */
   assert(!(lost == 2 && term[i] == TERMS && commit[i] == LENGTH))
 #endif
 #ifdef WITNESS_REPLACED
@@ -295,12 +295,12 @@
   repairing = a
 }
 
-/* The disk of y is lost; its VM returns on an empty one, within the bound. */
+/* The disk of y is lost; its VM returns with an empty one, within the bound. */
 inline loseDisk(y) {
   lose(y);
   lost++;
 #ifdef MUTANT_NO_IDENTITY
-  /* Its name is all that is known of it, so it counts as before. */
+  /* Only its name identifies it, so it is still a voter. */
   life[y] = RUNNING
 #else
   if
@@ -318,7 +318,7 @@
 #else
 #define OWN_COMMITTED(i) ENTRY_IS_OWN(i)
 #endif
-/* All memberships in the log of i are committed. */
+/* Whether all memberships in the log of i are committed. */
 #define SETTLED_AT(i, k) (VOTERS_OF(AT(i, k)) == 0 || commit[i] > (k))
 #ifdef MUTANT_TWO_CHANGES
 #define SETTLED(i) true
@@ -351,11 +351,11 @@
 #ifdef MUTANT_COMMIT_OLD_TERM
 #define OWN_TERM(i, k) true
 #else
-/* The entry at k, or one that follows it and is as widely held, is its own. */
+/* The entry at k, or a later one on as many storages, is from its own term. */
 #define OWN_TERM(i, k) (TERM_OF(AT(i, k)) == term[i])
 #endif
 
-/* Without loss of generality storage 0 is the first to stand, if so bound. */
+/* With FIRST, without loss of generality, storage 0 starts the first election. */
 #ifdef FIRST
 #define MAY_START_TERM(i) (term[i] > 0 || i == 0)
 #else
@@ -363,7 +363,7 @@
 #endif
 
 /* Steps of one storage. */
-/* A leader that restarts or resigns is one that does nothing until it stands. */
+/* A restarted or resigned leader is a leader that is idle until it stands. */
 #define STAND(i) \
   :: atomic { UP(i) && COUNTS(i, i) && term[i] < TERMS && \
      MAY_START_TERM(i) -> \
@@ -371,7 +371,7 @@
 #define LEAD(i) \
   :: atomic { role[i] == CANDIDATE && VOTED(i) >= MAJORITY(i) -> \
      d_step { lead(i); skip } \
-     /* It may know all that is committed of its log, or nothing. */ \
+     /* Its commit index may cover all committed entries of its log, or none. */ \
      if \
      :: commit[i] > 0 -> commit[i] = 0 \
      :: skip \
@@ -379,7 +379,7 @@
 #define PROPOSE(i) \
   :: atomic { role[i] == LEADER && length[i] < LENGTH -> \
      d_step { extend(i, 0); skip } }
-/* The commit index passes older entries only together with one of its own. */
+/* Older entries are committed only together with one of the leader's own term. */
 #define COMMIT(i, k) \
   :: atomic { role[i] == LEADER && commit[i] < k && length[i] >= k && \
      OWN_TERM(i, (k) - 1) && HELD_BY(i, k) >= MAJORITY(i) -> \
@@ -420,12 +420,12 @@
 #endif
 
 #if LOSSES > 0
-/* A second disk is lost as early as right after the repair of the first. */
+/* A second disk may be lost as soon as the first is repaired. */
 #define DEPART(y) \
   :: atomic { lost < LOSSES && repairing == NOBODY && UP(y) && \
      length[y] > 0 -> d_step { loseDisk(y); skip } }
 #elif defined(REPLACE)
-/* A newcomer stands ready to replace a living member. */
+/* A new storage is on standby to replace a running member. */
 #define DEPART(y) \
   :: atomic { joined < JOINS && (y) == 0 -> d_step { start() } }
 #else
@@ -450,11 +450,11 @@
 #ifdef MUTANT_CROSSED_APPEND
 #define APPEND_MATTERS(i, j, k) true
 #else
-/* Redelivery of what is there already changes nothing. */
+/* Redelivery of entries that are already present has no effect. */
 #define APPEND_MATTERS(i, j, k) \
   (AT(j, k) != AT(i, k) || MATCHED(i, j) <= k || term[j] < term[i])
 #endif
-/* The acknowledgement may be lost, or the process die before the sync. */
+/* The acknowledgement may be lost, or the process may end before the sync. */
 #define MAYBE_ACKNOWLEDGE(i, j, k) \
   if \
   :: d_step { acknowledge(i, j, k); skip } \
@@ -475,12 +475,12 @@
 #define COMMITS(i) COMMIT(i, 1) COMMIT(i, 2) COMMIT(i, 3) COMMIT(i, 4)
 #endif
 
-/* A learner that holds what is committed, synced, becomes a voter. */
+/* A learner that has synced all committed entries becomes a voter. */
 #define PROMOTE(i, x) \
   :: atomic { MAY_CHANGE(i) && UP(x) && !COUNTS(i, x) && \
      MATCHED(i, x) >= commit[i] -> \
      d_step { extend(i, VOTERS(i) | (1 << (x))); skip } }
-/* A lost or replaced member stops counting. */
+/* A lost or replaced member is removed from the voters. */
 #define REMOVE(i, y) \
   :: atomic { MAY_CHANGE(i) && COUNTS(i, y) && SIZE(VOTERS(i)) > 1 && \
      MAY_REMOVE(y) -> d_step { extend(i, VOTERS(i) & ~(1 << (y))); skip } }
@@ -490,7 +490,7 @@
 #define MAY_REMOVE(y) (life[y] == GONE)
 #endif
 #ifdef MUTANT_SWAP_IN_ONE_STEP
-/* The newcomer takes the place of the other by one entry. */
+/* One entry replaces the old member by the new storage. */
 #define SWAP(i, x, y) \
   :: atomic { MAY_CHANGE(i) && UP(x) && !COUNTS(i, x) && COUNTS(i, y) && \
      MAY_REMOVE(y) && MATCHED(i, x) >= commit[i] -> \
@@ -501,11 +501,11 @@
 #endif
 
 #if RESTARTS > 0
-/* A proxy starts again and knows nothing; what it served was accepted. */
+/* The proxy restarts without state; all versions that it served were accepted. */
 #ifdef MUTANT_JOIN_RUNNING_ROUND
 #define FORGET_ROUND skip
 #else
-/* An answer to an older nonce proves nothing to this life. */
+/* An answer to an earlier nonce proves nothing to the restarted proxy. */
 #define FORGET_ROUND \
   roundLeader = NOBODY; roundTerm = 0; roundIndex = 0; roundAnswers = 0
 #endif
@@ -541,7 +541,7 @@
 #else
 #define ENOUGH(i) (ANSWERED(i) >= MAJORITY(i))
 #endif
-/* Claim: the floor is no older than all that was accepted before this life. */
+/* Invariant: the minimum version covers all that was accepted before the start. */
 #define FLOOR(i) \
   :: atomic { asking && roundLeader == i && role[i] == LEADER && \
      term[i] == roundTerm && ENOUGH(i) -> \
--- a/model/meeting.pml
+++ b/model/meeting.pml
@@ -1,12 +1,14 @@
 /*
- * Who meets whom in the control group: which processes call which, and what
- * hellos tell of the members. docs/design/model.md maps each step to the code.
+ * How the processes of the control group discover each other: which process
+ * calls which, and what a hello message says about the members.
+ * docs/design/model.md maps each step to the code.
  *
- * Processes 0 to 2 are the founders, whom settings name. 3 has joined them. 4
- * stands ready, and settings name the founders to it. 5 stands ready too; its
- * settings name 4 alone. Whoever leads must have met each process that stands
- * ready, or it can't put it in a lost voter's place. So when nothing is left to
- * be said, each member that runs has met each process beside the group.
+ * Processes 0 to 2 are the founders, which the settings contain. Process 3 has
+ * joined them. Processes 4 and 5 are on standby: the settings of 4 contain the
+ * founders, those of 5 contain only 4. The leader must have met a standby
+ * process before it can replace a lost voter by it. Therefore, when no message
+ * changes anything any more, each running member must have met each process
+ * outside the group.
  *
  * Bounds, set by the runner:
  *   LOSSES  members that may be lost, at any time
@@ -22,14 +24,14 @@
 #define BIT(p) (1 << (p))
 #define HAS(mask, p) (((mask) >> (p)) & 1)
 
-/* Processes that run, and the group's present members, one bit each. */
+/* Running processes and current members of the group, one bit each. */
 byte running = 63;
 byte members = MEMBERS;
-/* The entry that made them members. */
+/* Index of the membership's log entry. */
 byte membersAt = 1;
 byte lost;
 
-/* Whom a process calls, who introduced itself to it, what it knows. */
+/* The processes that each one calls, has met, and knows as members. */
 byte calls[PROCESSES];
 byte met[PROCESSES];
 byte known[PROCESSES];
@@ -45,7 +47,7 @@
 #endif
 #endif
 
-/* What a call from p to q changes: the link is kept both ways, q may learn. */
+/* A call from p to q: both keep the link, and q may receive newer members. */
 #define IS_NEWS(p, q) \
   (!HAS(met[q], p) || !HAS(calls[q], p) || TELLS(p, q))
 #define CALL(p, q) \
@@ -63,12 +65,12 @@
     }
 #define CALLS(p) CALL(p, 0) CALL(p, 1) CALL(p, 2) CALL(p, 3) CALL(p, 4) CALL(p, 5)
 
-/* A member is lost for good. */
+/* A member is lost permanently. */
 #define LOSE(p) \
   :: HAS(running, p) && HAS(members, p) && lost < LOSSES -> \
     atomic { running = running & ~BIT(p); lost++ }
 
-/* Members follow their own log: all call all, and are taken to have met. */
+/* Members apply their log: each one calls all others and counts as met. */
 #define FOLLOW(p) \
   if \
   :: HAS(members, p) -> \
@@ -100,7 +102,7 @@
   LOSE(2)
   LOSE(3)
 #ifdef JOIN
-  /* The leader, which met it, puts 4 in a lost member's place. */
+  /* A leader that has met 4 replaces a lost member by it. */
   :: membersAt == 1 && lost > 0 &&
       (HAS(met[0], 4) && HAS(running, 0) || HAS(met[1], 4) && HAS(running, 1) ||
        HAS(met[2], 4) && HAS(running, 2) || HAS(met[3], 4) && HAS(running, 3)) ->
--- a/model/run.ts
+++ b/model/run.ts
@@ -1,4 +1,4 @@
-/** Has spin check the specifications; only this module starts spin and gcc. */
+/** Checks the specifications with spin; only this module starts spin and gcc. */
 import {execFile} from 'node:child_process';
 import {mkdtemp, rm} from 'node:fs/promises';
 import {tmpdir} from 'node:os';
@@ -9,11 +9,11 @@
 import {checks} from './checks.js';
 import type {Bounds, Check} from './checks.js';
 
-/** What came of one check. */
+/** Result of one check. */
 export interface Outcome {
-  /** Whether it is as expected. */
+  /** Whether the result is as expected. */
   readonly passed: boolean;
-  /** What was found, in a few words. */
+  /** Short description of the result. */
   readonly finding: string;
   readonly states: number;
   readonly seconds: number;
@@ -21,16 +21,16 @@
 }
 
 /**
- * Searches that run beside each other: half of the eight cores that CI has, and
- * with `searchMemory` a quarter of its memory.
+ * Searches that run concurrently. They use half of the eight cores that CI has,
+ * and with `searchMemory` a quarter of its memory.
  */
 export const searchesAtOnce = 4;
 
 /**
- * Longest search in milliseconds, and its memory in megabytes. A search is
- * bounded by its states and its memory; the time only ends one that hangs. The
- * longest takes under a minute by itself, and over three beside programs that
- * take four times the machine's cores.
+ * Time limit of a search in milliseconds, and memory limit in megabytes. A search
+ * is limited by its states and its memory; the timeout only ends one that hangs.
+ * The longest search takes under a minute alone, and over three minutes beside
+ * programs that use four times the machine's cores.
  */
 const searchTimeout = 1_800_000;
 const searchMemory = 1400;
@@ -44,7 +44,7 @@
   }
 }
 
-interface Ending {
+interface ProcessResult {
   readonly output: string;
   readonly failed: boolean;
 }
@@ -53,7 +53,7 @@
   file: string,
   args: readonly string[],
   cwd: string,
-): Promise<Ending> {
+): Promise<ProcessResult> {
   const limits = {timeout: searchTimeout, maxBuffer: 16 * 1024 * 1024};
   return new Promise((resolve, reject) => {
     execFile(file, args, {cwd, ...limits}, (error, stdout, stderr) => {
@@ -78,7 +78,7 @@
     value === true ? `-D${name}` : `-D${name}=${value}`,
   );
 
-/** Searches the states of one check; never takes a cut search for a whole one. */
+/** Runs the search of one check; an incomplete search never passes. */
 export async function run(check: Check): Promise<Outcome> {
   const source = `../../model/${check.specification}.pml`;
   const path = fileURLToPath(new URL(source, import.meta.url));
@@ -86,7 +86,7 @@
   try {
     await build('spin', ['-a', '-o3', ...toFlags(check.bounds), path], folder);
     const flags = [...compilerFlags, `-DMEMLIM=${searchMemory}`];
-    // Only whole searches are long enough to repay an optimizing compiler.
+    // Only complete searches are long enough to be worth the optimizing compiler.
     flags.push(check.expected === 'holds' ? '-O2' : '-O1');
     const args = ['-E', '-n', `-m${searchDepth}`];
     await build('gcc', [...flags, '-o', 'pan', 'pan.c'], folder);
@@ -96,36 +96,36 @@
   }
 }
 
-/** Reads what the search printed. */
-export function judge(check: Check, {output, failed}: Ending): Outcome {
+/** Evaluates the output of a search. */
+export function judge(check: Check, {output, failed}: ProcessResult): Outcome {
   const find = (pattern: RegExp) => Number(pattern.exec(output)?.[1] ?? NaN);
   const figures = {
     states: find(/(\d+) states, stored/),
     seconds: find(/elapsed time ([\d.]+)/),
     megabytes: find(/([\d.]+)\s+total actual memory/),
   };
-  const broken = /assertion violated (.*) \(at depth/.exec(output)?.[1];
-  if (broken !== undefined) {
+  const violated = /assertion violated (.*) \(at depth/.exec(output)?.[1];
+  if (violated !== undefined) {
     const isExpected =
-      check.expected !== 'holds' && broken.includes(check.assertion!);
-    const finding = `${isExpected ? check.expected : 'broken'}: ${broken}`;
+      check.expected !== 'holds' && violated.includes(check.assertion!);
+    const finding = `${isExpected ? check.expected : 'broken'}: ${violated}`;
     return {passed: isExpected, finding, ...figures};
   }
-  const isWhole =
+  const isComplete =
     !failed &&
     find(/errors: (\d+)/) === 0 &&
     figures.states > 0 &&
     !/Search not completed|search depth too small|out of memory/.test(output);
-  if (!isWhole) {
+  if (!isComplete) {
     return {passed: false, finding: 'search not completed', ...figures};
   }
   if (check.expected === 'holds') {
     return {passed: true, finding: 'holds, all states searched', ...figures};
   }
-  return {passed: false, finding: 'no state breaks it', ...figures};
+  return {passed: false, finding: 'no state violates it', ...figures};
 }
 
-/** One line for a person. */
+/** Formats the result as one line for people. */
 export function describe(check: Check, outcome: Outcome): string {
   const {passed, finding, states, seconds, megabytes} = outcome;
   const bounds = toFlags(check.bounds)
--- a/model/trials.pml
+++ b/model/trials.pml
@@ -1,13 +1,13 @@
 /*
- * Trials of a held request: the leader names a life of an instance, and the
- * gate of that life lets the request start once. docs/design/model.md maps each
- * step to the code.
+ * Trials of a quarantined request: the leader chooses a life (an incarnation)
+ * of an instance, and the gate of that life lets the request start once.
+ * docs/design/model.md maps each step to the code.
  *
- * Two instances take work. Each sees the leader's word late, may end under this
- * request or under other work, and is another life when it is back; its gate
- * may be started again by itself, which makes another life too. Callers ask
- * again and again at each, and may leave before an answer comes. However that
- * falls out, the request starts no more often than trials were granted.
+ * Two instances take work. Each receives the leader's decisions late, and may
+ * crash because of this request or of other work. After a restart it is a new
+ * life; a restart of its gate alone makes a new life too. Callers send the
+ * request to each instance repeatedly and may disconnect before the answer. In
+ * no case may the request start more often than trials were granted.
  *
  * Bounds, set by the runner:
  *   TRIALS  trials that are granted at most
@@ -22,14 +22,14 @@
 
 #define INSTANCES 2
 
-/* The quarantine as the log has it; `grant` rises with each word. */
+/* The quarantine in the log; `grant` is the version of the leader's decision. */
 byte trials;
 bool onTrial;
 byte trialAt;
 byte trialLife;
 byte grant;
 
-/* Each instance: its life, and the last word that its gate has. */
+/* Each instance: its life, and the last decision that its gate received. */
 byte life[INSTANCES];
 byte seen[INSTANCES];
 bool seenOnTrial[INSTANCES];
@@ -37,13 +37,13 @@
 byte seenAt[INSTANCES];
 byte seenLife[INSTANCES];
 
-/* The last trial that the gate let start in this life. */
+/* The last trial that the gate started in this life. */
 byte begun[INSTANCES];
-/* A trial runs; one started in this life and was not answered. */
+/* A trial is running; a trial of this life started and was not answered. */
 bool runs[INSTANCES];
 bool tried[INSTANCES];
 
-/* Word of an end that the leader has not looked at yet. */
+/* Crash report that the leader has not processed yet. */
 bool isTold[INSTANCES];
 byte toldLife[INSTANCES];
 bool toldTried[INSTANCES];
@@ -68,7 +68,7 @@
 #define COUNTS(i) tried[i]
 #endif
 
-/* Word of the leader reaches a gate. */
+/* The leader's decision reaches a gate. */
 #define HEAR(i) \
   :: seen[i] != grant -> \
     atomic { \
@@ -79,7 +79,7 @@
       seenLife[i] = trialLife \
     }
 
-/* A caller asks; the gate lets it start. */
+/* A caller sends the request; the gate lets it start. */
 #define START(i) \
   :: seenOnTrial[i] && IS_OWN(i) && IS_FIRST(i) && starts <= TRIALS -> \
     atomic { \
@@ -89,11 +89,11 @@
       starts++ \
     }
 
-/* The caller leaves; nothing runs, and nobody knows how it would have ended. */
+/* The caller disconnects: the request is cancelled and its outcome is unknown. */
 #define LEAVE(i) \
   :: runs[i] -> runs[i] = false
 
-/* The instance ends, under this request or under other work. */
+/* The instance crashes because of this request or of other work. */
 #define CRASH(i) \
   :: life[i] < LIVES -> \
     atomic { \
@@ -106,7 +106,7 @@
       tried[i] = false \
     }
 
-/* The gate is started again; it tells nothing and remembers nothing. */
+/* The gate restarts: it sends no report and has no state. */
 #define RESTART(i) \
   :: life[i] < LIVES -> \
     atomic { \
@@ -121,13 +121,13 @@
   :: !onTrial && trials < TRIALS -> \
     atomic { trials++; onTrial = true; trialAt = i; trialLife = life[i]; grant++ }
 
-/* The trial's life ended with it, or is gone: it counts. */
+/* The chosen life crashed during the trial or is gone: the trial counts. */
 #define CLOSE(i) \
   :: onTrial && trialAt == i && life[i] != trialLife && \
       !(isTold[i] && toldLife[i] == trialLife && !toldTried[i]) -> \
     atomic { onTrial = false; grant++ }
 
-/* The trial's life ended under other work: it moves on. */
+/* The chosen life crashed because of other work: the trial moves to the other. */
 #define MOVE(i) \
   :: onTrial && trialAt == i && isTold[i] && toldLife[i] == trialLife && \
       !toldTried[i] -> \
