--- a/model/checks.ts
+++ b/model/checks.ts
@@ -1,4 +1,6 @@
-/** The model checks for spin: invariants with their bounds, mutants, witnesses. */
+/**
+ * The model checks for spin: invariants with their bounds, mutants, witnesses.
+ */
 
 /** Macros of a specification by name: a number, or true for a switch. */
 export interface Bounds {
@@ -12,10 +14,11 @@
   readonly specification: 'consensus' | 'claims' | 'meeting' | 'trials';
   readonly bounds: Bounds;
   /**
-   * - `holds`: no reachable state violates an invariant; all states are searched.
+   * - `holds`: no reachable state violates an invariant; the search covers all
+   *   states.
    * - `refuted`: without the safeguard spin finds a violated invariant.
-   * - `reached`: not an invariant; the intended final state is reachable, so the
-   *   invariants do not hold only because nothing happens.
+   * - `reached`: not an invariant; the intended final state is reachable, which
+   *   shows that the invariants do not hold only because nothing happens.
    */
   readonly expected: 'holds' | 'refuted' | 'reached';
   /** Part of the assertion that must be violated, as spin prints it. */
--- a/model/claims.pml
+++ b/model/claims.pml
@@ -6,8 +6,8 @@
  * There is one key. A life is one incarnation of a keeper's node. Lives 0 to 2
  * are the keeper set of epoch 1; each later epoch replaces one life by a new,
  * empty one. An attempt is one gate that tries to run the key's work. Messages
- * may be lost, duplicated and delayed: a step that sends and receives represents
- * any delivery.
+ * may be lost, duplicated and delayed: a step that sends and receives
+ * represents any delivery.
  *
  * Bounds, set by the runner:
  *   EPOCHS    keeper sets, 1 to 3
@@ -17,9 +17,9 @@
  *   STARTED   the keepers of epoch 1 are active in it from the start
  *   EARLY     sets are assigned before the previous one is active (EPOCHS 3)
  *   APART     attempt 0 asks the last set only, attempt 1 the first only
- * Without loss of generality (lives are interchangeable at the start, and so are
- * attempts): life 0 is the first to leave, the next one is 1 or a new life, and
- * attempt 0 is the first to run.
+ * Without loss of generality (at the start lives are interchangeable, and so
+ * are attempts): life 0 is the first to leave, the next one is 1 or a new life,
+ * and attempt 0 is the first to run.
  */
 #ifndef EPOCHS
 #define EPOCHS 2
@@ -178,7 +178,9 @@
 #define WON(c) (SIZE(votes[c]) >= MAJORITY)
 #endif
 
-/* A set is assigned only when a majority of the previous set is active in it. */
+/*
+ * A set is assigned only when a majority of the previous set is active in it.
+ */
 #define HOLDS_CLAIMS(l) \
   (IS_MEMBER(l, newest) && stage[l] == ACTIVE && epoch[l] == newest)
 #if EPOCHS == 1
@@ -312,7 +314,9 @@
     newest = 1;
     members[1] = 7;
 #ifdef EARLY
-    /* Epochs may be received late anyway, so all sets can exist from the start. */
+    /*
+     * Epochs may be received late anyway, so all sets can exist from the start.
+     */
     newest = 3;
     members[2] = 14;
     members[3] = 28;
--- a/model/consensus.pml
+++ b/model/consensus.pml
@@ -14,7 +14,7 @@
  *   JOINS     storages that may join, 0 to 2
  *   SYNC      appended entries may be unsynced, and a crash loses these
  *   LOSSES    disks that may be lost, each one after the repair of the last
- *   REPLACE   a join replaces a running member; otherwise it follows a lost disk
+ *   REPLACE   a join replaces a running member; else it follows a lost disk
  *   CHANGING  storage 3 is a voter from the start: a replacement in progress
  *   RESTARTS  starts of the proxy; 0 omits the proxy
  *   FIRST     only storage 0 starts an election while its term is 0
@@ -70,7 +70,7 @@
 byte entries[STORAGES * LENGTH];
 byte voters[STORAGES];              /* newest membership in the log */
 byte role[STORAGES];
-byte votes[STORAGES];               /* a candidate's votes, one bit per storage */
+byte votes[STORAGES];               /* a candidate's votes, one bit each */
 byte commit[STORAGES];              /* a leader's commit index */
 byte matched[STORAGES * STORAGES];  /* a leader's view of synced prefixes */
 #ifdef SYNC
@@ -92,7 +92,7 @@
 #if RESTARTS > 0
 /* The proxy, and the leader's quorum round that proves freshness to it. */
 byte restarts;
-bool asking;                        /* the proxy waits for its minimum version */
+bool asking;                        /* the proxy waits for its minimum */
 byte owed;                          /* accepted length when the proxy started */
 byte roundLeader = NOBODY;
 byte roundTerm;
@@ -251,14 +251,16 @@
     acceptedLength = commit[i]
   :: else
   fi;
-  /* A repair is complete when the membership with the new storage is accepted. */
+  /*
+   * A repair is complete when the membership with the new storage is accepted.
+   */
   if
   :: repairing != NOBODY && HAS_BIT(VOTERS_OF(AT(i, a)), repairing) ->
     repairing = NOBODY
   :: else
   fi;
 #ifdef WITNESS_SECOND_LOSS
-  /* Not an invariant: shows that the group makes progress after the second loss. */
+  /* Not an invariant: shows progress after the second loss. */
   assert(!(lost == 2 && term[i] == TERMS && commit[i] == LENGTH))
 #endif
 #ifdef WITNESS_REPLACED
@@ -355,7 +357,9 @@
 #define OWN_TERM(i, k) (TERM_OF(AT(i, k)) == term[i])
 #endif
 
-/* With FIRST, without loss of generality, storage 0 starts the first election. */
+/*
+ * With FIRST, without loss of generality, storage 0 starts the first election.
+ */
 #ifdef FIRST
 #define MAY_START_TERM(i) (term[i] > 0 || i == 0)
 #else
@@ -371,7 +375,7 @@
 #define LEAD(i) \
   :: atomic { role[i] == CANDIDATE && VOTED(i) >= MAJORITY(i) -> \
      d_step { lead(i); skip } \
-     /* Its commit index may cover all committed entries of its log, or none. */ \
+     /* It may know of all committed entries in its log, or of none. */ \
      if \
      :: commit[i] > 0 -> commit[i] = 0 \
      :: skip \
@@ -379,7 +383,9 @@
 #define PROPOSE(i) \
   :: atomic { role[i] == LEADER && length[i] < LENGTH -> \
      d_step { extend(i, 0); skip } }
-/* Older entries are committed only together with one of the leader's own term. */
+/*
+ * Older entries are committed only together with one of the leader's own term.
+ */
 #define COMMIT(i, k) \
   :: atomic { role[i] == LEADER && commit[i] < k && length[i] >= k && \
      OWN_TERM(i, (k) - 1) && HELD_BY(i, k) >= MAJORITY(i) -> \
@@ -501,7 +507,9 @@
 #endif
 
 #if RESTARTS > 0
-/* The proxy restarts without state; all versions that it served were accepted. */
+/*
+ * The proxy restarts without state; all versions that it served were accepted.
+ */
 #ifdef MUTANT_JOIN_RUNNING_ROUND
 #define FORGET_ROUND skip
 #else
@@ -541,7 +549,9 @@
 #else
 #define ENOUGH(i) (ANSWERED(i) >= MAJORITY(i))
 #endif
-/* Invariant: the minimum version covers all that was accepted before the start. */
+/*
+ * Invariant: the minimum version covers all that was accepted before the start.
+ */
 #define FLOOR(i) \
   :: atomic { asking && roundLeader == i && role[i] == LEADER && \
      term[i] == roundTerm && ENOUGH(i) -> \
--- a/model/model.test.ts
+++ b/model/model.test.ts
@@ -10,7 +10,8 @@
 const limit = pLimit(searchesAtOnce);
 for (const check of checks) {
   test(`${check.specification}: ${check.name}`, async t => {
-    // The timeout includes the wait for earlier searches; `run` limits each one.
+    // The timeout includes the wait for earlier searches; `run` limits each
+    // one.
     t.timeout(7_200_000);
     const outcome = await limit(() => run(check));
     const line = describe(check, outcome);
--- a/model/run.ts
+++ b/model/run.ts
@@ -1,4 +1,6 @@
-/** Checks the specifications with spin; only this module starts spin and gcc. */
+/**
+ * Checks the specifications with spin; only this module starts spin and gcc.
+ */
 import {execFile} from 'node:child_process';
 import {mkdtemp, rm} from 'node:fs/promises';
 import {tmpdir} from 'node:os';
@@ -27,10 +29,10 @@
 export const searchesAtOnce = 4;
 
 /**
- * Time limit of a search in milliseconds, and memory limit in megabytes. A search
- * is limited by its states and its memory; the timeout only ends one that hangs.
- * The longest search takes under a minute alone, and over three minutes beside
- * programs that use four times the machine's cores.
+ * Time limit of a search in milliseconds, and memory limit in megabytes. A
+ * search is limited by its states and its memory; the timeout only ends one
+ * that hangs. The longest search takes under a minute alone, and over three
+ * minutes beside programs that use four times the machine's cores.
  */
 const searchTimeout = 1_800_000;
 const searchMemory = 1400;
@@ -86,7 +88,8 @@
   try {
     await build('spin', ['-a', '-o3', ...toFlags(check.bounds), path], folder);
     const flags = [...compilerFlags, `-DMEMLIM=${searchMemory}`];
-    // Only complete searches are long enough to be worth the optimizing compiler.
+    // Only complete searches are long enough to be worth the optimizing
+    // compiler.
     flags.push(check.expected === 'holds' ? '-O2' : '-O1');
     const args = ['-E', '-n', `-m${searchDepth}`];
     await build('gcc', [...flags, '-o', 'pan', 'pan.c'], folder);
--- a/model/trials.pml
+++ b/model/trials.pml
@@ -22,7 +22,9 @@
 
 #define INSTANCES 2
 
-/* The quarantine in the log; `grant` is the version of the leader's decision. */
+/*
+ * The quarantine in the log; `grant` is the version of the leader's decision.
+ */
 byte trials;
 bool onTrial;
 byte trialAt;
@@ -89,7 +91,9 @@
       starts++ \
     }
 
-/* The caller disconnects: the request is cancelled and its outcome is unknown. */
+/*
+ * The caller disconnects: the request is cancelled and its outcome is unknown.
+ */
 #define LEAVE(i) \
   :: runs[i] -> runs[i] = false
 
@@ -127,7 +131,9 @@
       !(isTold[i] && toldLife[i] == trialLife && !toldTried[i]) -> \
     atomic { onTrial = false; grant++ }
 
-/* The chosen life crashed because of other work: the trial moves to the other. */
+/*
+ * The chosen life crashed because of other work: the trial moves to the other.
+ */
 #define MOVE(i) \
   :: onTrial && trialAt == i && isTold[i] && toldLife[i] == trialLife && \
       !toldTried[i] -> \
--- a/scenarios/chance.test.ts
+++ b/scenarios/chance.test.ts
@@ -34,7 +34,7 @@
 }
 
 /** Injects random faults and changes; resolves with the accepted services. */
-async function disturb(cluster: Cluster, seed: number): Promise<string[]> {
+async function injectFaults(cluster: Cluster, seed: number): Promise<string[]> {
   const random = createRandom(seed);
   const acceptedServices: string[] = [];
   let isCut = false;
@@ -87,7 +87,7 @@
     const cluster = createCluster();
     await cluster.startControls();
     for (const name of nodes) cluster.startNode(name, vms);
-    const acceptedServices = await disturb(cluster, seed);
+    const acceptedServices = await injectFaults(cluster, seed);
     const areAllUpToDate = () => vms.every(name => isUpToDate(cluster, name));
     await cluster.until(
       'every VM with the current state',
--- a/scenarios/cluster.ts
+++ b/scenarios/cluster.ts
@@ -1,4 +1,6 @@
-/** The cluster that a scenario runs on: three control VMs, nodes and operators. */
+/**
+ * The cluster that a scenario runs on: three control VMs, nodes and operators.
+ */
 import {decodeAnswer} from '../src/configuration/entry.js';
 import type {Answer, Command, Edit} from '../src/configuration/messages.js';
 import {createHome} from '../src/distribution/home.js';
@@ -45,18 +47,26 @@
   /** Starts or restarts a node; `homes` are names of control VMs. */
   startNode(name: string, homes: readonly string[]): void;
   stopNode(name: string): void;
-  /** Name of the leader that is not cut off; undefined unless there is exactly one. */
+  /**
+   * Name of the leader that is not cut off; undefined unless there is exactly
+   * one.
+   */
   leader(): string | undefined;
   /** Creates an operator's next command. */
   prepare(operator: string, edits: readonly Edit[], expected?: number): Command;
   /** Sends a command to one control VM; undefined when no answer comes. */
   send(name: string, command: Command): Promise<Answer | undefined>;
-  /** Sends a command to the leader, and again until an answer comes or time is up. */
+  /**
+   * Sends a command to the leader, and again until an answer comes or time is
+   * up.
+   */
   submit(command: Command): Promise<Answer | undefined>;
   cutOff(name: string): void;
   /** Restores all connections. */
   heal(): void;
-  /** Advances the time until `done`; throws with `description` after the limit. */
+  /**
+   * Advances the time until `done`; throws with `description` after the limit.
+   */
   until(
     description: string,
     done: () => boolean,
@@ -74,7 +84,7 @@
   const timers = createFakeTimers(1_000_000);
   const network = createFakeNetwork(timers);
   const log = createSilentLog();
-  const off = new Set<string>();
+  const disabledSafeguards = new Set<string>();
   const controls = new Map<string, ControlVm>();
   const nodes = new Map<string, Node>();
   const commands = new Map<string, Command>();
@@ -82,13 +92,15 @@
 
   const disabledAmong = (names: readonly string[]) =>
     Object.fromEntries(
-      names.filter(name => off.has(name)).map(name => [name, false]),
+      names
+        .filter(name => disabledSafeguards.has(name))
+        .map(name => [name, false]),
     );
 
   const safeguards = (): Safeguards => ({
     consensus: disabledAmong(['preVote', 'checkQuorum', 'storageIdentity']),
     machine: disabledAmong(['answers']),
-    proof: !off.has('proof'),
+    proof: !disabledSafeguards.has('proof'),
   });
 
   async function until(
@@ -105,7 +117,10 @@
     }
   }
 
-  /** The value of a promise; undefined when it does not settle within the timeout. */
+  /**
+   * The value of a promise; undefined when it does not settle within the
+   * timeout.
+   */
   async function within<T>(promise: Promise<T>): Promise<T | undefined> {
     let outcome: {value: T} | undefined;
     void promise.then(value => (outcome = {value}));
@@ -164,7 +179,7 @@
       homes: homes.map(each => controls.get(each)!.address),
       self: {kind: 'node', name, failureDomain: 'hall-a', region: 'astana'},
     });
-    const proof = !off.has('proof');
+    const proof = !disabledSafeguards.has('proof');
     const subscriber = createSubscriber({
       ...shared(),
       home,
@@ -200,7 +215,7 @@
   return {
     timers,
     network,
-    disabledSafeguards: off,
+    disabledSafeguards,
     controls,
     nodes,
     answers: [],
--- a/scenarios/configuration/second-loss.feature
+++ b/scenarios/configuration/second-loss.feature
@@ -13,7 +13,7 @@
     And amina puts service parts-files
     Then 3 services exist
 
-  Scenario: a voter with an emptied disk elects no leader without the accepted change
+  Scenario: a voter with an emptied disk elects no leader that lacks an accepted change
     Given control VMs alpha, beta and gamma, led by alpha
     When gamma is cut off
     And amina puts service stock-desk
--- a/scenarios/control-vm.ts
+++ b/scenarios/control-vm.ts
@@ -1,4 +1,6 @@
-/** Control VMs of a scenario: the real modules on fake disks, links and timers. */
+/**
+ * Control VMs of a scenario: the real modules on fake disks, links and timers.
+ */
 import type {ConfigurationMachine} from '../src/configuration/create-configuration-machine.js';
 import type {MachineSafeguards} from '../src/configuration/create-configuration-machine.js';
 import {createSampleMachine} from '../src/configuration/fakes/sample.js';
--- a/scenarios/processes/claims.test.ts
+++ b/scenarios/processes/claims.test.ts
@@ -80,7 +80,8 @@
   async t => {
     // A certificate is issued. Two of the three nodes that keep its claim are
     // killed and restart without claims. The resend must be refused as
-    // keepers-lost, and no new issuance may run until the retention time is over.
+    // keepers-lost, and no new issuance may run until the retention time is
+    // over.
     const deployment = await start(t, 3, 8000);
     t.is((await issue(callerNode(deployment), 'cert-1'))?.status, 200);
     const [one, two] = crewbooks(deployment);
@@ -106,9 +107,9 @@
 );
 
 test.serial('a rolling restart of all nodes loses no claim', async t => {
-  // A certificate is issued. All nodes of its service are stopped gracefully and
-  // restarted, one after the other. Then no keeper is the process that granted
-  // the claim; the resend must still get the stored answer.
+  // A certificate is issued. All nodes of its service are stopped gracefully
+  // and restarted, one after the other. Then no keeper is the process that
+  // granted the claim; the resend must still get the stored answer.
   const deployment = await start(t, 4, 900_000);
   const first = await issue(callerNode(deployment), 'cert-3');
   t.is(first?.status, 200);
--- a/scenarios/processes/control.test.ts
+++ b/scenarios/processes/control.test.ts
@@ -22,7 +22,10 @@
   return deployment;
 }
 
-/** The fields of an answer that are equal for the first answer and a repeated one. */
+/**
+ * The fields of an answer that are equal for the first answer and a repeated
+ * one.
+ */
 function answerOf(reply: Awaited<ReturnType<OperatorClient['change']>>) {
   if (!reply.ok) return undefined;
   const {code, message, version} = reply.value;
@@ -37,9 +40,9 @@
 test.serial(
   'an accepted change survives the loss of the leader that accepted it',
   async t => {
-    // An operator sends changes one after the other. The leader is killed during
-    // this and restarted later. Each change that was answered as accepted must be
-    // present, and each command must have been applied once.
+    // An operator sends changes one after the other. The leader is killed
+    // during this and restarted later. Each change that was answered as
+    // accepted must be present, and each command must have been applied once.
     const deployment = await startControls(t);
     const leader = await findLeader(deployment);
     const client = connectOperator(deployment);
@@ -102,8 +105,8 @@
   async t => {
     // One VM is lost with its disk and returns with an empty one. As soon as it
     // is a voter with the current state, a second VM is lost with its disk for
-    // good. All accepted changes must be present, and the remaining two VMs must
-    // accept changes.
+    // good. All accepted changes must be present, and the remaining two VMs
+    // must accept changes.
     const deployment = await startControls(t);
     await findLeader(deployment);
     const client = connectOperator(deployment);
@@ -132,10 +135,11 @@
 test.serial(
   'a suspended leader that resumes serves no stale state',
   async t => {
-    // The leader's process is suspended for some seconds; the others elect a new
-    // leader and accept a change. When the old leader resumes it gets a query at
-    // once: it must answer with the newer state or not at all, and no election may
-    // follow. The long election timeout avoids elections caused by a busy machine.
+    // The leader's process is suspended for some seconds; the others elect a
+    // new leader and accept a change. When the old leader resumes it gets a
+    // query at once: it must answer with the newer state or not at all, and no
+    // election may follow. The long election timeout avoids elections caused by
+    // a busy machine.
     const deployment = await startControls(t, {electionTimeout: 2000});
     const leader = await findLeader(deployment);
     const others = [0, 1, 2].filter(index => index !== leader);
@@ -178,10 +182,10 @@
 test.serial(
   'a command resent after the loss of the leader gets its first answer',
   async t => {
-    // The leader is killed while it processes an operator's command, so the answer
-    // may be lost. The operator resends the command with the same id until it is
-    // answered, and once more later. Both answers must be equal, and the history
-    // must contain the change once.
+    // The leader is killed while it processes an operator's command, so the
+    // answer may be lost. The operator resends the command with the same id
+    // until it is answered, and once more later. Both answers must be equal,
+    // and the history must contain the change once.
     const deployment = await startControls(t);
     const leader = await findLeader(deployment);
     const client = connectOperator(deployment);
@@ -201,9 +205,10 @@
 test.serial(
   'of two concurrent changes that expect the same version one is accepted',
   async t => {
-    // Two operators read the same version and send different changes to different
-    // processes at the same time. One change is accepted. The answer to the other
-    // gives the winner's version, and no part of that change is applied.
+    // Two operators read the same version and send different changes to
+    // different processes at the same time. One change is accepted. The answer
+    // to the other gives the winner's version, and no part of that change is
+    // applied.
     const deployment = await startControls(t);
     await findLeader(deployment);
     const one = connectOperator(deployment, [0]);
--- a/scenarios/processes/crashing-request.test.ts
+++ b/scenarios/processes/crashing-request.test.ts
@@ -14,7 +14,9 @@
 const waitTimeout = 60_000;
 const crash = 'crashing';
 
-/** Milliseconds until all nodes have the quarantine, from the third crash on. */
+/**
+ * Milliseconds until all nodes have the quarantine, from the third crash on.
+ */
 const quarantineDelay = 3_000;
 /** Crashes that the request may cause after that. */
 const maxFurtherCrashes = 3;
@@ -96,7 +98,10 @@
   return true;
 }
 
-/** Crashes at least three instances and waits until all nodes have the quarantine. */
+/**
+ * Crashes at least three instances and waits until all nodes have the
+ * quarantine.
+ */
 async function crashThree(
   deployment: Deployment,
   upstreams: Upstreams,
@@ -168,7 +173,8 @@
 test.serial(
   'crashes that a lookup did not cause put no lookup in quarantine',
   async t => {
-    // Three instances are killed at the same time while a lookup is in progress.
+    // Three instances are killed at the same time while a lookup is in
+    // progress.
     const {deployment, upstreams} = await start(t, 200);
     const send = createSender(deployment, '/records/slow', {});
     for (let round = 1; round <= 4; round++) {
--- a/scenarios/processes/endpoints.test.ts
+++ b/scenarios/processes/endpoints.test.ts
@@ -42,7 +42,10 @@
   return ((await answer.body.json()) as {begun: number}).begun;
 }
 
-/** Sends lookups through one node, one after the other; gives the distinct statuses. */
+/**
+ * Sends lookups through one node, one after the other; gives the distinct
+ * statuses.
+ */
 async function lookUp(
   deployment: Deployment,
   count: number,
@@ -59,8 +62,8 @@
   'a drained instance takes no new work once the drain is in force',
   async t => {
     // An operator drains one of three instances during continuous lookups. No
-    // lookup may fail, and no work may begin at the instance once the drain is in
-    // force. After the drain is removed the instance must get work again.
+    // lookup may fail, and no work may begin at the instance once the drain is
+    // in force. After the drain is removed the instance must get work again.
     const deployment = await start(t);
     const [drained] = crewbooks(deployment);
     const {name} = drained!.settings;
@@ -86,8 +89,9 @@
   'an upstream that drains itself and leaves causes no failed lookup',
   async t => {
     // An upstream announces that it drains, finishes its work, withdraws its
-    // announcement and exits, during continuous lookups. No lookup may fail. When
-    // it restarts at the same address, it is a new incarnation and must get work.
+    // announcement and exits, during continuous lookups. No lookup may fail.
+    // When it restarts at the same address, it is a new incarnation and must
+    // get work.
     const deployment = await start(t);
     const [leaving] = crewbooks(deployment);
     const ending = leaving!.upstream.stop();
@@ -123,9 +127,9 @@
 test.serial(
   'a node detects the loss of its upstream by failed connections',
   async t => {
-    // The upstream is killed; the node beside it still runs and announces it for
-    // some time. Lookups that reach its gate are refused as not run and retried
-    // at other instances; callers must see no failure.
+    // The upstream is killed; the node beside it still runs and announces it
+    // for some time. Lookups that reach its gate are refused as not run and
+    // retried at other instances; callers must see no failure.
     const deployment = await start(t);
     const [place] = crewbooks(deployment);
     place!.upstream.signal('SIGKILL');
@@ -138,10 +142,10 @@
 test.serial(
   'a node applies a drain of its upstream whatever services it calls',
   async t => {
-    // The callers of a node use crewbook only, and its upstream is a drillvault.
-    // An operator drains that instance. If the node subscribed only to services
-    // that it calls, its gate would miss the drain and still admit work from
-    // entries with an older version.
+    // The callers of a node use crewbook only, and its upstream is a
+    // drillvault. An operator drains that instance. If the node subscribed only
+    // to services that it calls, its gate would miss the drain and still admit
+    // work from entries with an older version.
     const deployment = await startSmall({
       controls: 3,
       services: [
--- a/scenarios/processes/mixed-faults.test.ts
+++ b/scenarios/processes/mixed-faults.test.ts
@@ -62,11 +62,11 @@
 test.serial(
   'under mixed faults no answer is wrong and no refused issuance ran',
   async t => {
-    // Callers send lookups, gate checks and issuances through every node while a
-    // node and the leader are killed, another node is stopped and an instance is
-    // drained. An issuance that was answered must have run once, one that was
-    // refused as not run must not have run, and no other may have run more than
-    // once. No request may get the answer to another one.
+    // Callers send lookups, gate checks and issuances through every node while
+    // a node and the leader are killed, another node is stopped and an instance
+    // is drained. An issuance that was answered must have run once, one that
+    // was refused as not run must not have run, and no other may have run more
+    // than once. No request may get the answer to another one.
     const deployment = await startSmall({
       controls: 3,
       services: [
--- a/scenarios/processes/put-service.ts
+++ b/scenarios/processes/put-service.ts
@@ -2,7 +2,9 @@
 
 let lastSequence = Date.now() * 1000;
 
-/** Creates a command that puts one service; each has its own sequence number. */
+/**
+ * Creates a command that puts one service; each has its own sequence number.
+ */
 export function putService(name: string): Command {
   return {
     operator: 'tester',
--- a/scenarios/processes/relays.test.ts
+++ b/scenarios/processes/relays.test.ts
@@ -47,10 +47,10 @@
 test.serial(
   'the loss of a relay removes no upstream and delays no change',
   async t => {
-    // One of two relays is killed during continuous lookups. Its nodes connect to
-    // the other one; no upstream disappears, so no lookup may fail, and the next
-    // change must come into force at every node. After the relay has restarted,
-    // the same must hold when the other one is killed.
+    // One of two relays is killed during continuous lookups. Its nodes connect
+    // to the other one; no upstream disappears, so no lookup may fail, and the
+    // next change must come into force at every node. After the relay has
+    // restarted, the same must hold when the other one is killed.
     const deployment = await start(t);
     t.is(await change(deployment, 'first'), '');
     const [one, two] = deployment.relays;
--- a/scenarios/processes/replaced-member.test.ts
+++ b/scenarios/processes/replaced-member.test.ts
@@ -18,7 +18,9 @@
 const waitTimeout = 60_000;
 const nodes = 3;
 
-/** Starts a fourth control process, which is not in the settings of the others. */
+/**
+ * Starts a fourth control process, which is not in the settings of the others.
+ */
 async function startFourth(t: ExecutionContext, {data, ...rest}: Deployment) {
   const ports = await reservePorts();
   const [founder] = rest.controlSettings;
@@ -55,11 +57,11 @@
 test.serial(
   'operators and nodes reach a member that replaced a founding member',
   async t => {
-    // control-4 replaces control-1. control-2 is killed and misses a change, then
-    // control-3 stops and control-2 returns, so only control-4 can lead. A client
-    // that has only the address of control-2 must be redirected to control-4,
-    // although the settings of control-2 do not contain it. Each of the two must
-    // count the nodes of the other.
+    // control-4 replaces control-1. control-2 is killed and misses a change,
+    // then control-3 stops and control-2 returns, so only control-4 can lead. A
+    // client that has only the address of control-2 must be redirected to
+    // control-4, although the settings of control-2 do not contain it. Each of
+    // the two must count the nodes of the other.
     const deployment = await startSmall({
       controls: 3,
       services: [{name: 'crewbook', instances: nodes}],
--- a/scenarios/processes/requests.test.ts
+++ b/scenarios/processes/requests.test.ts
@@ -91,8 +91,8 @@
   'an issuance whose gate is killed during the run never runs again',
   async t => {
     // A caller issues a certificate. While the upstream processes it, the node
-    // beside it is killed and the answer is lost. Resends through the other nodes
-    // with the same key must get the effect unknown.
+    // beside it is killed and the answer is lost. Resends through the other
+    // nodes with the same key must get the effect unknown.
     const deployment = await start(t, {work: 1500});
     const entry = deployment.places.find(
       ({service}) => service === 'drillvault',
@@ -115,8 +115,8 @@
   'a resend through another entry gets the answer after the first entry is killed',
   async t => {
     // The node that received the request is killed while the upstream processes
-    // it. The caller resends through another node and must get the answer of the
-    // only run.
+    // it. The caller resends through another node and must get the answer of
+    // the only run.
     const deployment = await start(t, {work: 1500});
     const entry = deployment.places.find(
       ({service}) => service === 'drillvault',
@@ -134,8 +134,8 @@
 test.serial(
   'an issuance whose gate is killed after the run does not run again',
   async t => {
-    // A certificate is issued and answered; then the node beside its upstream is
-    // killed. A resend must get the answer that the keepers store.
+    // A certificate is issued and answered; then the node beside its upstream
+    // is killed. A resend must get the answer that the keepers store.
     const deployment = await start(t);
     const entry = deployment.places.find(
       ({service}) => service === 'drillvault',
@@ -155,7 +155,8 @@
   'an issuance whose answer is lost at the upstream has the effect unknown',
   async t => {
     // The upstream issues the certificate, and its connection breaks before the
-    // answer. The caller must get the effect unknown, and a resend must not run.
+    // answer. The caller must get the effect unknown, and a resend must not
+    // run.
     const deployment = await start(t);
     for (const place of crewbooks(deployment)) {
       await sendControl(place, 'fault?kind=reset-before-head&count=1');
@@ -170,9 +171,9 @@
 );
 
 test.serial('a truncated record is a visible error', async t => {
-  // The upstream's connection ends in the middle of a record. The caller's client
-  // must fail, or get the effect unknown if no byte was forwarded yet. A partial
-  // record must never look like a complete short one.
+  // The upstream's connection ends in the middle of a record. The caller's
+  // client must fail, or get the effect unknown if no byte was forwarded yet. A
+  // partial record must never look like a complete short one.
   const deployment = await start(t);
   const entry = deployment.places.find(
     ({service}) => service === 'drillvault',
@@ -236,10 +237,10 @@
 test.serial(
   'requests are served while all control processes are down',
   async t => {
-    // All control processes are killed at once. Lookups and issuances must still be
-    // served through every node, and a resend must get the first answer. A node
-    // that starts now has no configuration that is proved fresh, so it must refuse
-    // requests as not run.
+    // All control processes are killed at once. Lookups and issuances must
+    // still be served through every node, and a resend must get the first
+    // answer. A node that starts now has no configuration that is proved fresh,
+    // so it must refuse requests as not run.
     const deployment = await start(t);
     for (const control of deployment.controls) control.signal('SIGKILL');
     await Promise.all(deployment.controls.map(control => control.ended()));
--- a/scenarios/processes/restart.test.ts
+++ b/scenarios/processes/restart.test.ts
@@ -25,7 +25,9 @@
   effect: noConfiguration.effect,
 };
 const checks = 30;
-/** Milliseconds between two checks, so that a home has time to send its state. */
+/**
+ * Milliseconds between two checks, so that a home has time to send its state.
+ */
 const checkInterval = 200;
 
 let lastSequence = Date.now() * 1000;
@@ -39,7 +41,8 @@
   crewbooks: number,
 ): Promise<Deployment> {
   const services = [{name: 'crewbook', instances: crewbooks}];
-  // Frequent snapshots, so that a restarted control process has a state to serve.
+  // Frequent snapshots, so that a restarted control process has a state to
+  // serve.
   const control = {snapshotEntries: 2};
   const deployment = await startSmall({controls: 3, services, control});
   t.teardown(deployment.stop);
@@ -61,10 +64,11 @@
 test.serial(
   'a node that restarts with only a stale control process serves no stale state',
   async t => {
-    // An operator removes a route while one control process is down. Then the two
-    // others are suspended, the first one returns, and a node restarts and reaches
-    // only that one. Its configuration is not proved fresh, so the node must
-    // refuse lookups rather than use the removed route, until the others resume.
+    // An operator removes a route while one control process is down. Then the
+    // two others are suspended, the first one returns, and a node restarts and
+    // reaches only that one. Its configuration is not proved fresh, so the node
+    // must refuse lookups rather than use the removed route, until the others
+    // resume.
     const deployment = await start(t, 1);
     await setUp(deployment, 'examples/agency/setup.fox');
     const leader = await findLeader(deployment);
@@ -124,8 +128,8 @@
 
 test.serial('a graceful stop of the leader loses no change', async t => {
   // An operator sends changes one after the other while the leader is stopped
-  // gracefully. Every change must be accepted, the history must contain each one
-  // once, and the process must exit with 0.
+  // gracefully. Every change must be accepted, the history must contain each
+  // one once, and the process must exit with 0.
   const deployment = await start(t, 0);
   const leader = await findLeader(deployment);
   const client = connectOperator(deployment);
--- a/scenarios/step.ts
+++ b/scenarios/step.ts
@@ -1,6 +1,12 @@
-/** Step definitions: a pattern with typed placeholders, and an action on a world. */
+/**
+ * Step definitions: a pattern with typed placeholders, and an action on a
+ * world.
+ */
 
-/** Argument types of a step, inferred from `{number}` and `{word}` in its pattern. */
+/**
+ * Argument types of a step, inferred from `{number}` and `{word}` in its
+ * pattern.
+ */
 export type Arguments<Pattern extends string> =
   Pattern extends `${string}{${infer Kind}}${infer Rest}`
     ? [Kind extends 'number' ? number : string, ...Arguments<Rest>]
@@ -13,7 +19,9 @@
 export interface Step<World> {
   readonly kind: StepKind;
   readonly pattern: string;
-  /** The arguments in a step's text; undefined when the pattern does not match. */
+  /**
+   * The arguments in a step's text; undefined when the pattern does not match.
+   */
   match(text: string): Array<string | number> | undefined;
   run(world: World, args: Array<string | number>): Promise<void> | void;
 }
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Compiles, builds and runs the demo; exits with 0 only if all answers are correct.
+# Compiles, builds and runs the demo; exits with 0 only if all answers are right.
 set -eu
 cd "$(dirname "$0")/.."
 npm run --silent compile
--- a/scripts/doc-comments.ts
+++ b/scripts/doc-comments.ts
@@ -1,9 +1,14 @@
 import {readFileSync} from 'node:fs';
 import ts from 'typescript';
 
-/** Doc comments of properties in the object literals and interfaces of a file. */
+/**
+ * Doc comments of properties in the object literals and interfaces of a file.
+ */
 export interface DocComments {
-  /** The comment of `key` in the variable or interface `owner`; empty without one. */
+  /**
+   * The comment of `key` in the variable or interface `owner`; empty without
+   * one.
+   */
   of(owner: string, key: string): string;
 }
 
--- a/scripts/promises.test.ts
+++ b/scripts/promises.test.ts
@@ -18,7 +18,9 @@
     .map(([, file, title]) => ({file: file!, title: title!}));
 }
 
-/** Titles of the tests, scenarios or model checks in a file, as in its source. */
+/**
+ * Titles of the tests, scenarios or model checks in a file, as in its source.
+ */
 function titlesIn(file: string): string[] {
   const text = readFileSync(file, 'utf8');
   if (file === 'model/checks.ts') return checks.map(({name}) => name);
--- a/scripts/settings-page.ts
+++ b/scripts/settings-page.ts
@@ -97,7 +97,9 @@
   return {core: schema, fallback: undefined, isOptional: false};
 }
 
-/** Whether a schema is an address, which is the only string with a refinement. */
+/**
+ * Whether a schema is an address, which is the only string with a refinement.
+ */
 function isAddress(schema: z.ZodTypeAny): boolean {
   return (
     schema instanceof z.ZodEffects && schema.innerType() instanceof z.ZodString
@@ -138,7 +140,9 @@
   return `${kind}${min}${max}`;
 }
 
-/** The inclusive minimum; the schema defines a positive integer as more than 0. */
+/**
+ * The inclusive minimum; the schema defines a positive integer as more than 0.
+ */
 function inclusiveMin(schema: z.ZodNumber): number {
   const check = schema._def.checks.find(check => check.kind === 'min');
   const isExclusive = check?.kind === 'min' && !check.inclusive;
--- a/scripts/undici-client.test.ts
+++ b/scripts/undici-client.test.ts
@@ -18,8 +18,8 @@
 }
 
 // Guards against a 500 for each request that occurs only in the executable: a
-// module imports one more name from undici, which scripts/undici-client.cjs lacks.
-// Modules that Node.js runs directly load the whole package and work.
+// module imports one more name from undici, which scripts/undici-client.cjs
+// lacks. Modules that Node.js runs directly load the whole package and work.
 test('the bundle contains each part of undici that the source uses', async t => {
   const load = createRequire(resolve('scripts/undici-client.cjs'));
   const parts = load('./undici-client.cjs') as Record<string, unknown>;
--- a/src/burn/burn.test.ts
+++ b/src/burn/burn.test.ts
@@ -19,7 +19,9 @@
   return all.filter(count => count.count > 0);
 }
 
-/** Intervals of five minutes up to now; those within `faulty` have bad answers. */
+/**
+ * Intervals of five minutes up to now; those within `faulty` have bad answers.
+ */
 function samples(length: number, faulty: number, share: number): Samples {
   const step = 5 * minute;
   const intervals = [];
--- a/src/burn/burn.ts
+++ b/src/burn/burn.ts
@@ -99,8 +99,8 @@
 
 /**
  * The long window shows that a large part of the budget is spent, the short one
- * that the burn continues, so that an alert ends soon after its cause. The rates
- * spend 2%, 5% and 10% of the period's budget within the long window.
+ * that the burn continues, so that an alert ends soon after its cause. The
+ * rates spend 2%, 5% and 10% of the period's budget within the long window.
  */
 export const alertRules: readonly Rule[] = [
   {name: 'page-fast', long: '1h', short: '5m', rate: 14.4},
--- a/src/burn/command.test.ts
+++ b/src/burn/command.test.ts
@@ -9,7 +9,9 @@
 
 const targets = [{policy: 'gate-checks', target: 0.99, latency: 50}];
 
-/** A node that answers 100 more requests by each scrape; `failing` of them fail. */
+/**
+ * A node that answers 100 more requests by each scrape; `failing` of them fail.
+ */
 function scrapeOf(round: number, failing: number): Scrape {
   const base = {service: 'drillvault', policy: 'gate-checks'};
   return {
--- a/src/burn/command.ts
+++ b/src/burn/command.ts
@@ -85,7 +85,9 @@
   readonly unreached: readonly string[];
 }
 
-/** Scrapes until the sampling time is over; saves the samples after each round. */
+/**
+ * Scrapes until the sampling time is over; saves the samples after each round.
+ */
 async function sample(
   options: BurnOptions,
   {scrape, timers}: CommandContext,
--- a/src/burn/duration.ts
+++ b/src/burn/duration.ts
@@ -14,7 +14,9 @@
   return `${Number((milliseconds / unit.length).toFixed(1))}${unit.name}`;
 }
 
-/** Parses `90s`, `5m`, `2h` or `30d` to milliseconds; undefined for other text. */
+/**
+ * Parses `90s`, `5m`, `2h` or `30d` to milliseconds; undefined for other text.
+ */
 export function parseDuration(text: string): number | undefined {
   const match = /^(\d+(?:\.\d+)?)(d|h|m|s)$/.exec(text);
   if (match === null) return undefined;
--- a/src/burn/page-style.ts
+++ b/src/burn/page-style.ts
@@ -1,4 +1,6 @@
-/** CSS of the page; always a light theme, so that it prints as it is displayed. */
+/**
+ * CSS of the page; always a light theme, so that it prints as it is displayed.
+ */
 export const pageStyle = `
 body { font: 15px/1.5 system-ui, sans-serif; margin: 2rem auto; max-width: 72rem; padding: 0 1rem; color: #222; background: #fff; }
 h1 { font-size: 1.6rem; margin-bottom: 0; }
--- a/src/burn/page.ts
+++ b/src/burn/page.ts
@@ -125,7 +125,9 @@
   };
 }
 
-/** Omits thresholds far above the curve, which flatten it, or close to the axis. */
+/**
+ * Omits thresholds far above the curve, which flatten it, or close to the axis.
+ */
 function isVisible(rate: number, highest: number): boolean {
   return rate <= highest * 2 && rate >= highest / 25;
 }
--- a/src/burn/samples-file.ts
+++ b/src/burn/samples-file.ts
@@ -34,7 +34,10 @@
   })
   .strict();
 
-/** Reads a samples file; a missing file gives no samples, an invalid one a failure. */
+/**
+ * Reads a samples file; a missing file gives no samples, an invalid one a
+ * failure.
+ */
 export async function readSamples(file: string): Promise<Result<Samples>> {
   let text: string;
   try {
@@ -52,7 +55,9 @@
   }
 }
 
-/** Replaces a samples file atomically: an interrupted write leaves the old file. */
+/**
+ * Replaces a samples file atomically: an interrupted write leaves the old file.
+ */
 export async function writeSamples(
   file: string,
   content: Samples,
--- a/src/burn/samples.ts
+++ b/src/burn/samples.ts
@@ -31,7 +31,10 @@
 /** Content of the samples file. */
 export interface Samples {
   readonly scrapes: readonly Scrape[];
-  /** When the last scrape was, in milliseconds since the epoch; 0 before the first. */
+  /**
+   * When the last scrape was, in milliseconds since the epoch; 0 before the
+   * first.
+   */
   readonly time: number;
   /** Oldest first, without overlap. */
   readonly intervals: readonly Interval[];
@@ -40,7 +43,10 @@
 /** Empty samples, as before the first scrape. */
 export const noSamples: Samples = {scrapes: [], time: 0, intervals: []};
 
-/** Adds the answers since the last scrapes; keeps the last scrape of unreached nodes. */
+/**
+ * Adds the answers since the last scrapes; keeps the last scrape of unreached
+ * nodes.
+ */
 export function addScrapes(
   samples: Samples,
   time: number,
@@ -63,9 +69,9 @@
 /**
  * The answers of one node since its last scrape. Counts restart from 0 with the
  * process, so the difference of counts may be negative, or too small when the
- * new count exceeds the old one. Therefore the start time shows whether the node
- * restarted. The counts of a node that ran before its first scrape are of unknown
- * age and only set the baseline.
+ * new count exceeds the old one. Therefore the start time shows whether the
+ * node restarted. The counts of a node that ran before its first scrape are of
+ * unknown age and only set the baseline.
  */
 function countSince(
   last: Scrape | undefined,
@@ -98,7 +104,7 @@
   return [...sums.values()].filter(count => count.count > 0);
 }
 
-/** Minimum interval length by age, both as shares of the period. */
+/** Length of merged intervals by age, both as shares of the period. */
 const resolutions = [
   {age: 1 / 4320, step: 0},
   {age: 1 / 120, step: 1 / 8640},
@@ -108,8 +114,8 @@
 
 /**
  * Removes intervals older than the period and merges old ones, so that the file
- * is bounded: about 180 intervals for a period, whatever the scrape interval is.
- * An interval is never longer than the shortest window that still uses it.
+ * is bounded: about 180 intervals for a period, whatever the scrape interval
+ * is. An interval is never longer than the shortest window that still uses it.
  */
 export function compact(samples: Samples, period: number): Samples {
   const merged: Interval[] = [];
--- a/src/trace/trace.ts
+++ b/src/trace/trace.ts
@@ -5,7 +5,9 @@
 export interface Trace {
   /** Lines about the request, oldest first. */
   readonly decisions: readonly LogLine[];
-  /** Lines on state changes of the same processes and instances, oldest first. */
+  /**
+   * Lines on state changes of the same processes and instances, oldest first.
+   */
   readonly beliefs: readonly LogLine[];
   /** Lines that report omitted log lines at that time. */
   readonly gaps: readonly LogLine[];
