--- a/src/trace/trace.ts
+++ b/src/trace/trace.ts
@@ -1,28 +1,35 @@
-/** Joins the lines of several processes into the story of one request. */
-import type {Line} from './line.js';
+/** Merges log lines of several processes into the trace of one request. */
+import type {LogLine} from './log-line.js';
 
-/** The story of one request. */
+/** Log lines that concern one request. */
 export interface Trace {
-  /** Lines about the request, by time. */
-  readonly decisions: readonly Line[];
-  /** What processes came to believe around it, by time. */
-  readonly beliefs: readonly Line[];
-  /** Lines that say that others were left out, around it. */
-  readonly gaps: readonly Line[];
+  /** Lines about the request, oldest first. */
+  readonly decisions: readonly LogLine[];
+  /**
+   * Lines on state changes of the same processes and instances, oldest first.
+   */
+  readonly beliefs: readonly LogLine[];
+  /** Lines that report omitted log lines at that time. */
+  readonly gaps: readonly LogLine[];
 }
 
-// Beliefs come with heartbeats and leases, seconds apart; an ejection lasts 5 s.
-const before = 10_000;
-const after = 2_000;
+// Milliseconds before the first and after the last decision. State changes are
+// logged with heartbeats and leases, which are seconds apart; an ejection lasts
+// 5 s.
+const windowBefore = 10_000;
+const windowAfter = 2_000;
 
-/** Collects what lines tell of one request. */
-export function traceRequest(request: string, lines: readonly Line[]): Trace {
+/** Selects the lines that concern one request. */
+export function traceRequest(
+  request: string,
+  lines: readonly LogLine[],
+): Trace {
   const decisions = lines.filter(line => line.request === request);
   decisions.sort(byTime);
   const first = decisions[0];
   if (first === undefined) return {decisions: [], beliefs: [], gaps: []};
-  const from = timeOf(first) - before;
-  const to = timeOf(decisions[decisions.length - 1]!) + after;
+  const from = timeOf(first) - windowBefore;
+  const to = timeOf(decisions[decisions.length - 1]!) + windowAfter;
   const around = lines
     .filter(line => line.request === undefined)
     .filter(line => timeOf(line) >= from && timeOf(line) <= to)
@@ -40,14 +47,14 @@
   };
 }
 
-function isGap({message}: Line): boolean {
+function isGap({message}: LogLine): boolean {
   return message === 'log lines left out';
 }
 
-function timeOf({time}: Line): number {
+function timeOf({time}: LogLine): number {
   return Date.parse(time);
 }
 
-function byTime(left: Line, right: Line): number {
+function byTime(left: LogLine, right: LogLine): number {
   return timeOf(left) - timeOf(right);
 }
