--- a/bench/callers/load.ts
+++ b/bench/callers/load.ts
@@ -6,7 +6,7 @@
 import type {Timers} from '../../src/time/timers.js';
 import {digestHeader, tagHeader} from '../upstreams/service.js';
 import {createCall, pickKind} from './mix.js';
-import type {Call, CallKind, Share} from './mix.js';
+import type {Call, CallKind, MixEntry} from './mix.js';
 
 /** A bounded load: arrivals come by chance whether or not answers do. */
 export interface LoadOptions {
@@ -18,7 +18,7 @@
   readonly count: number;
   /** Milliseconds after which no more calls are made. */
   readonly duration: number;
-  readonly mix: readonly Share[];
+  readonly mix: readonly MixEntry[];
   /** Size of an upload's body. */
   readonly uploadBytes: number;
   /** Milliseconds a caller waits; it leaves after them. */
--- a/bench/callers/mix.ts
+++ b/bench/callers/mix.ts
@@ -16,7 +16,7 @@
 export type CallKind = (typeof callKinds)[number];
 
 /** One kind of call and how often it comes, relative to the others. */
-export interface Share {
+export interface MixEntry {
   readonly kind: CallKind;
   readonly weight: number;
 }
@@ -33,7 +33,7 @@
 const names = 500;
 
 /** Reads `kind=weight,kind=weight`; throws on an unknown kind. */
-export function parseMix(text: string): Share[] {
+export function parseMix(text: string): MixEntry[] {
   return text.split(',').map(part => {
     const [kind, weight = '1'] = part.split('=');
     if (!callKinds.includes(kind as CallKind)) {
@@ -44,7 +44,7 @@
 }
 
 /** Draws a kind by its weight. */
-export function pickKind(mix: readonly Share[], random: Random): CallKind {
+export function pickKind(mix: readonly MixEntry[], random: Random): CallKind {
   const total = mix.reduce((sum, share) => sum + share.weight, 0);
   let left = random.fraction() * total;
   for (const share of mix) {
--- a/bench/consensus/process-group.ts
+++ b/bench/consensus/process-group.ts
@@ -64,7 +64,7 @@
 
   for (let at = 0; at < size + spares; at++) {
     const name = `control-${at + 1}`;
-    const address = ports.take();
+    const address = ports.nextAddress();
     all.set(name, {name, address, failureDomain: `domain-${at + 1}`});
   }
   const founders = [...all.values()].slice(0, size);
--- a/bench/demo/agency.ts
+++ b/bench/demo/agency.ts
@@ -1,7 +1,7 @@
 /** What schedulers, training centres and ramp supervisors do. */
 import type {Deployment} from '../deployment/deployment.js';
 import type {Checks} from './checks.js';
-import {tryLookups, tryOnce, tryUpload} from './courses.js';
+import {tryLookups, tryOnce, tryUpload} from './shared-checks.js';
 
 /** Runs lookups, gate checks, an issuance with its resend and an upload. */
 export async function tryAgency(
--- a/bench/demo/bad-input.ts
+++ b/bench/demo/bad-input.ts
@@ -11,7 +11,7 @@
   deployment: Deployment,
   checks: Checks,
 ): Promise<void> {
-  const entry = deployment.places[0]!.settings.callerAddress;
+  const entry = deployment.instances[0]!.settings.callerAddress;
   const unknown = await call(entry, '/nowhere');
   expectCode(checks, 'an unknown route', unknown.code, 5001);
 
@@ -46,10 +46,10 @@
 ): Promise<void> {
   const service = isQurm(deployment) ? 'parts-files' : 'drillvault';
   const path = isQurm(deployment) ? '/files/x' : '/gate-checks/x';
-  const places = deployment.places.filter(one => one.service === service);
+  const places = deployment.instances.filter(one => one.service === service);
   for (const place of places) place.upstream.signal('SIGKILL');
   await Promise.all(places.map(({upstream}) => upstream.ended()));
-  const entry = deployment.places[0]!.settings.callerAddress;
+  const entry = deployment.instances[0]!.settings.callerAddress;
   const reply = await call(entry, path);
   checks.check(
     'dead upstreams give a numbered refusal that says not-run',
@@ -65,7 +65,7 @@
 }
 
 function isQurm(deployment: Deployment): boolean {
-  return deployment.places.some(({service}) => service === 'stock-desk');
+  return deployment.instances.some(({service}) => service === 'stock-desk');
 }
 
 function expectCode(
--- a/bench/demo/qurm.ts
+++ b/bench/demo/qurm.ts
@@ -1,7 +1,7 @@
 /** What storekeepers and fitters do. */
 import type {Deployment} from '../deployment/deployment.js';
 import type {Checks} from './checks.js';
-import {tryLookups, tryOnce, tryUpload} from './courses.js';
+import {tryLookups, tryOnce, tryUpload} from './shared-checks.js';
 
 /** Runs lookups, a booking with its resend, catalogue pulls and an upload. */
 export async function tryQurm(
--- a/bench/demo/courses.ts
+++ b/bench/demo/shared-checks.ts
@@ -14,7 +14,7 @@
   path: string,
 ): Promise<void> {
   const replies = await Promise.all(
-    deployment.places.map(({settings}) => {
+    deployment.instances.map(({settings}) => {
       const tag = `${what} ${settings.name}`.replaceAll(' ', '-');
       return call(settings.callerAddress, path, {tag}).then(reply => ({
         reply,
@@ -47,7 +47,9 @@
   checks: Checks,
   {what, service, path}: Once,
 ): Promise<void> {
-  const entries = deployment.places.map(({settings}) => settings.callerAddress);
+  const entries = deployment.instances.map(
+    ({settings}) => settings.callerAddress,
+  );
   const key = `demo-${what.replaceAll(' ', '-')}`;
   const body = Buffer.from(JSON.stringify({item: 'one', count: 1}));
   const options = {method: 'POST', key, tag: key, body} as const;
@@ -82,7 +84,7 @@
   key: string,
 ): Promise<number> {
   let runs = 0;
-  for (const place of deployment.places) {
+  for (const place of deployment.instances) {
     if (place.service !== service) continue;
     const answer = await request(`http://${place.upstreamAddress}/counts`);
     const counts = (await answer.body.json()) as {
@@ -100,7 +102,7 @@
   path: string,
 ): Promise<void> {
   const body = Buffer.alloc(uploadBytes, 'scan');
-  const entry = deployment.places[0]!.settings.callerAddress;
+  const entry = deployment.instances[0]!.settings.callerAddress;
   const reply = await call(entry, path, {method: 'PUT', tag: 'up', body});
   const found = reply.status === 200 ? receivedDigest(reply.body) : '';
   checks.check(
--- a/bench/deployment/deployment.ts
+++ b/bench/deployment/deployment.ts
@@ -11,10 +11,10 @@
 } from '../../src/settings/schema.js';
 import {resolveSettings} from '../../src/settings/resolve.js';
 import {runProgram, startProgram} from './program.js';
-import type {Finished, Program} from './program.js';
+import type {ProgramResult, Program} from './program.js';
 
 /** A node with the stand-in upstream beside it. */
-export interface Place {
+export interface DeployedInstance {
   readonly settings: NodeSettings;
   readonly service: string;
   readonly node: Program;
@@ -26,13 +26,13 @@
 export interface Deployment {
   readonly controls: readonly Program[];
   readonly relays: readonly Program[];
-  readonly places: readonly Place[];
+  readonly instances: readonly DeployedInstance[];
   /** The settings of the control processes, in the order of `controls`. */
   readonly controlSettings: readonly ControlSettings[];
   /** The folder in which the data folders lie. */
   readonly data: string;
   /** Runs one operator command. */
-  operate(...words: readonly string[]): Promise<Finished>;
+  operate(...words: readonly string[]): Promise<ProgramResult>;
   /** Starts a program again under its settings. */
   restart(name: string): Program;
   /** Stops all in a planned way; gives the names that did not exit with 0. */
@@ -41,7 +41,7 @@
    * Kills all at once, frozen ones too: the end of a test that judges no stop,
    * which would wait for keepers that no one is left to follow.
    */
-  end(): Promise<void>;
+  killAll(): Promise<void>;
 }
 
 /** How a deployment is started. */
@@ -60,7 +60,7 @@
 const upstreamPortOffset = 5;
 
 /** The program under test: the one binary when it is named, else modules. */
-export function foxbarrow(): readonly string[] {
+export function foxbarrowCommand(): readonly string[] {
   const binary = process.env['FOXBARROW_BINARY'];
   if (binary !== undefined && binary !== '') return [resolve(binary)];
   return [process.execPath, resolve('build/src/cli/bin.js')];
@@ -76,7 +76,7 @@
 
   function start(one: Settings): Program {
     const file = resolve(options.folder, `${one.name}.json`);
-    const command = [...foxbarrow(), one.role, file];
+    const command = [...foxbarrowCommand(), one.role, file];
     const program = startProgram({name: one.name, command, folder: data});
     started.set(one.name, program);
     return program;
@@ -97,7 +97,7 @@
     return start(settings.find(one => one.name === name)!);
   }
 
-  function startPlace(one: NodeSettings): Place {
+  function startPlace(one: NodeSettings): DeployedInstance {
     const service = one.name.replace(/-\d+$/, '');
     const upstreamAddress = options.upstreamAddress?.() ?? besides(one);
     const node = start(one);
@@ -125,12 +125,12 @@
     relays,
     controlSettings: controls,
     data,
-    places: startedPlaces,
+    instances: startedPlaces,
     operate: (...words) =>
       runProgram({
         name: 'operator',
         command: [
-          ...foxbarrow(),
+          ...foxbarrowCommand(),
           ...['--control', operators.join(','), '--operator', 'demo'],
           ...words,
         ],
@@ -151,7 +151,7 @@
       await rm(data, {recursive: true, force: true});
       return failed;
     },
-    async end() {
+    async killAll() {
       const all = [...started.values()];
       for (const program of all) program.signal('SIGKILL');
       await Promise.all(all.map(program => program.ended()));
--- a/bench/deployment/ports.ts
+++ b/bench/deployment/ports.ts
@@ -3,9 +3,9 @@
 import type {Server} from 'node:net';
 
 /** A range of ports that no other holder of a range uses. */
-export interface Ports {
+export interface PortRange {
   /** The next address of the range. */
-  take(): string;
+  nextAddress(): string;
   /** Gives the range back. */
   release(): void;
 }
@@ -20,7 +20,7 @@
  * outgoing connection sits on one of them. The first port of the range is held
  * open as its lock.
  */
-export async function reservePorts(): Promise<Ports> {
+export async function reservePorts(): Promise<PortRange> {
   for (let range = 0; range < rangeCount; range++) {
     const start = firstPort + range * rangeLength;
     const lock = await tryListen(start);
@@ -31,7 +31,7 @@
     }
     let next = start + 1;
     return {
-      take: () => `${host}:${next++}`,
+      nextAddress: () => `${host}:${next++}`,
       release: () => void lock.close(),
     };
   }
--- a/bench/deployment/program.ts
+++ b/bench/deployment/program.ts
@@ -81,14 +81,16 @@
 }
 
 /** Runs a program to its end and gives what it printed. */
-export interface Finished {
+export interface ProgramResult {
   readonly code: number;
   readonly output: string;
   readonly errors: string;
 }
 
 /** Runs a program that ends by itself. */
-export async function runProgram(options: ProgramOptions): Promise<Finished> {
+export async function runProgram(
+  options: ProgramOptions,
+): Promise<ProgramResult> {
   const [path, ...words] = options.command;
   const child = spawn(path!, words, {
     cwd: options.folder,
--- a/bench/deployment/setup.ts
+++ b/bench/deployment/setup.ts
@@ -48,7 +48,9 @@
   const client = connectOperator(deployment);
   await until('all nodes are known', limit, async () => {
     const reply = await client.inForce();
-    return reply.ok && reply.value.summary.nodes === deployment.places.length;
+    return (
+      reply.ok && reply.value.summary.nodes === deployment.instances.length
+    );
   });
   await waitFor(client, Number(version));
   let appointed: number | undefined;
@@ -75,7 +77,7 @@
   client: OperatorClient,
   deployment: Deployment,
 ): Promise<number | undefined> {
-  const names = new Set(deployment.places.map(({service}) => service));
+  const names = new Set(deployment.instances.map(({service}) => service));
   const reply = await client.items('service');
   if (!reply.ok) return undefined;
   const kept = reply.value.items.filter(
--- a/bench/deployment/small.ts
+++ b/bench/deployment/small-deployment.ts
@@ -5,10 +5,10 @@
 import {startDeployment} from './deployment.js';
 import type {Deployment} from './deployment.js';
 import {reservePorts} from './ports.js';
-import type {Ports} from './ports.js';
+import type {PortRange} from './ports.js';
 
 /** What a small deployment has. */
-export interface SmallOptions {
+export interface SmallDeploymentOptions {
   readonly controls: number;
   /** Relays, which are then the nodes' homes; default none. */
   readonly relays?: number;
@@ -38,7 +38,9 @@
 const failureDomains = ['hall-a', 'hall-b', 'hall-c'];
 
 /** Starts a small deployment; its `stop` gives its ports and files back. */
-export async function startSmall(options: SmallOptions): Promise<Deployment> {
+export async function startSmallDeployment(
+  options: SmallDeploymentOptions,
+): Promise<Deployment> {
   const folder = await mkdtemp(join(tmpdir(), 'foxbarrow-settings-'));
   const ports = await reservePorts();
   await writeSettings(folder, ports, options);
@@ -46,7 +48,7 @@
     folder,
     work: options.work ?? defaultWork,
     crash: options.crash,
-    upstreamAddress: ports.take,
+    upstreamAddress: ports.nextAddress,
   });
 
   async function release(): Promise<void> {
@@ -61,8 +63,8 @@
       await release();
       return failed;
     },
-    async end() {
-      await deployment.end();
+    async killAll() {
+      await deployment.killAll();
       await release();
     },
   };
@@ -70,8 +72,8 @@
 
 async function writeSettings(
   folder: string,
-  {take}: Ports,
-  options: SmallOptions,
+  {nextAddress: take}: PortRange,
+  options: SmallDeploymentOptions,
 ): Promise<void> {
   const members = Array.from({length: options.controls}, (_, index) => ({
     name: `control-${index + 1}`,
--- a/bench/distribution/harness.ts
+++ b/bench/distribution/harness.ts
@@ -4,20 +4,20 @@
 import {fileURLToPath} from 'node:url';
 import type {
   AcceptedChange,
-  Ask,
+  Command,
   HomeSetup,
   NodesSetup,
   Switch,
-  Told,
+  Reply,
   Usage,
 } from './messages.js';
 
 /** One stand-in process. */
 export interface StandInProcess {
   readonly address: string;
-  ask<K extends Ask['kind']>(
-    ask: Extract<Ask, {kind: K}>,
-  ): Promise<Extract<Told, {kind: K}>>;
+  ask<K extends Command['kind']>(
+    ask: Extract<Command, {kind: K}>,
+  ): Promise<Extract<Reply, {kind: K}>>;
   usage(): Promise<Usage>;
   memory(): Promise<number>;
   stop(): Promise<void>;
@@ -54,10 +54,10 @@
     execArgv: ['--expose-gc'],
     serialization: 'advanced',
   });
-  const ready = (await nextTold(child)) as Extract<Told, {kind: 'ready'}>;
+  const ready = (await nextTold(child)) as Extract<Reply, {kind: 'ready'}>;
   let last: Promise<unknown> = Promise.resolve();
 
-  async function exchange(ask: Ask): Promise<Told> {
+  async function exchange(ask: Command): Promise<Reply> {
     const told = nextTold(child);
     child.send(ask);
     return told;
@@ -88,13 +88,13 @@
   return one;
 }
 
-function nextTold(child: ChildProcess): Promise<Told> {
+function nextTold(child: ChildProcess): Promise<Reply> {
   return new Promise((resolve, reject) => {
     const end = (code: number | null) => {
       child.off('message', take);
       reject(new Error(`a stand-in process ended with ${code}`));
     };
-    const take = (told: Told) => {
+    const take = (told: Reply) => {
       child.off('exit', end);
       resolve(told);
     };
@@ -129,7 +129,7 @@
   readonly p99: number;
   /** Of the last node of a change: its median and greatest. */
   readonly lastP50: number;
-  readonly lastMost: number;
+  readonly lastMax: number;
   /** Pairs of node and change that never came into force. */
   readonly missing: number;
 }
@@ -155,7 +155,7 @@
     p50: quantile(all, 0.5),
     p99: quantile(all, 0.99),
     lastP50: quantile(lasts, 0.5),
-    lastMost: Math.max(...lasts),
+    lastMax: Math.max(...lasts),
     missing: nodes * changes.length - all.length,
   };
 }
--- a/bench/distribution/herd-process.ts
+++ b/bench/distribution/herd-process.ts
@@ -4,8 +4,14 @@
 import {createChannels} from '../../src/link/channel.js';
 import {createTcpNetwork} from '../../src/link/tcp-network.js';
 import {createTimers} from '../../src/time/timers.js';
-import type {Ask, NodesSetup, Told} from './messages.js';
-import {countBytes, readSetup, readUsage, serveAsks, tell} from './stand-in.js';
+import type {Command, NodesSetup, Reply} from './messages.js';
+import {
+  countBytes,
+  readSetup,
+  readUsage,
+  serveCommands,
+  sendReply,
+} from './stand-in.js';
 
 /**
  * A process of nodes that return at once: each asks for its state, waits when
@@ -53,7 +59,7 @@
   configuration.send(subscribe);
 }
 
-async function answer(ask: Ask): Promise<Told> {
+async function answer(ask: Command): Promise<Reply> {
   switch (ask.kind) {
     case 'usage':
       return {kind: 'usage', usage: readUsage(counted)};
@@ -68,5 +74,5 @@
 }
 
 for (let node = 0; node < setup.nodes; node++) void join(node);
-serveAsks(answer);
-tell({kind: 'ready', address: ''});
+serveCommands(answer);
+sendReply({kind: 'ready', address: ''});
--- a/bench/distribution/home-process.ts
+++ b/bench/distribution/home-process.ts
@@ -21,14 +21,14 @@
 import {createRandom} from '../../src/random/random.js';
 import {success} from '../../src/result/failure.js';
 import {createTimers} from '../../src/time/timers.js';
-import type {AcceptedChange, Ask, HomeSetup, Told} from './messages.js';
+import type {AcceptedChange, Command, HomeSetup, Reply} from './messages.js';
 import {
   countBytes,
   readMemory,
   readSetup,
   readUsage,
-  serveAsks,
-  tell,
+  serveCommands,
+  sendReply,
   wallTime,
 } from './stand-in.js';
 
@@ -101,7 +101,7 @@
   return {version, at};
 }
 
-async function changeOften(count: number, gap: number): Promise<Told> {
+async function changeOften(count: number, gap: number): Promise<Reply> {
   const changes: AcceptedChange[] = [];
   const start = wallTime();
   for (let index = 0; index < count; index++) {
@@ -169,7 +169,7 @@
     fleet.accept(createChannels(link));
   });
 
-  async function answer(ask: Ask): Promise<Told> {
+  async function answer(ask: Command): Promise<Reply> {
     switch (ask.kind) {
       case 'changes':
         return changeOften(ask.count, ask.gap);
@@ -193,8 +193,8 @@
     }
   }
 
-  serveAsks(answer);
-  tell({kind: 'ready', address: listener.address});
+  serveCommands(answer);
+  sendReply({kind: 'ready', address: listener.address});
 }
 
 main().catch((error: Error) => {
--- a/bench/distribution/messages.ts
+++ b/bench/distribution/messages.ts
@@ -58,7 +58,7 @@
 }
 
 /** What the bench asks of a stand-in process. */
-export type Ask =
+export type Command =
   | {readonly kind: 'changes'; readonly count: number; readonly gap: number}
   | {readonly kind: 'usage'}
   | {readonly kind: 'memory'}
@@ -68,7 +68,7 @@
   | {readonly kind: 'away'; readonly isAway: boolean};
 
 /** What a stand-in process answers; one answer for each ask. */
-export type Told =
+export type Reply =
   | {readonly kind: 'ready'; readonly address: string}
   | {readonly kind: 'changes'; readonly changes: readonly AcceptedChange[]}
   | {readonly kind: 'usage'; readonly usage: Usage}
--- a/bench/distribution/node-process.ts
+++ b/bench/distribution/node-process.ts
@@ -10,14 +10,14 @@
 import {createRandom} from '../../src/random/random.js';
 import type {Random} from '../../src/random/random.js';
 import {createTimers} from '../../src/time/timers.js';
-import type {Ask, NodesSetup, Switch, Told} from './messages.js';
+import type {Command, NodesSetup, Switch, Reply} from './messages.js';
 import {
   countBytes,
   readMemory,
   readSetup,
   readUsage,
-  serveAsks,
-  tell,
+  serveCommands,
+  sendReply,
   wallTime,
 } from './stand-in.js';
 
@@ -89,7 +89,7 @@
   return {home, subscriber};
 }
 
-function countSynced(): Told {
+function countSynced(): Reply {
   const versions = standIns.map(one => one.subscriber.current()?.version);
   const known = versions.filter(version => version !== undefined);
   const least = known.length > 0 ? Math.min(...known) : 0;
@@ -112,7 +112,7 @@
   start();
 }
 
-async function answer(ask: Ask): Promise<Told> {
+async function answer(ask: Command): Promise<Reply> {
   switch (ask.kind) {
     case 'usage':
       return {kind: 'usage', usage: readUsage(counted)};
@@ -121,7 +121,7 @@
     case 'synced':
       return countSynced();
     case 'switches': {
-      const told: Told = {kind: 'switches', switches};
+      const told: Reply = {kind: 'switches', switches};
       switches = [];
       return told;
     }
@@ -137,5 +137,5 @@
 }
 
 start();
-serveAsks(answer);
-tell({kind: 'ready', address: ''});
+serveCommands(answer);
+sendReply({kind: 'ready', address: ''});
--- a/bench/distribution/stand-in.ts
+++ b/bench/distribution/stand-in.ts
@@ -2,7 +2,7 @@
 import process from 'node:process';
 import {Network} from '../../src/link/link.js';
 import type {Address, Listener, Link} from '../../src/link/link.js';
-import type {Ask, Told, Usage} from './messages.js';
+import type {Command, Reply, Usage} from './messages.js';
 
 /** What the stand-in processes of the bench have in common. */
 
@@ -17,16 +17,16 @@
 }
 
 /** Answers each ask of the bench in order; ends with the bench. */
-export function serveAsks(answer: (ask: Ask) => Promise<Told>): void {
+export function serveCommands(answer: (ask: Command) => Promise<Reply>): void {
   let last = Promise.resolve();
-  process.on('message', (ask: Ask) => {
-    last = last.then(async () => tell(await answer(ask)));
+  process.on('message', (ask: Command) => {
+    last = last.then(async () => sendReply(await answer(ask)));
   });
   process.on('disconnect', () => process.exit(0));
 }
 
 /** Tells the bench one thing. */
-export function tell(told: Told): void {
+export function sendReply(told: Reply): void {
   process.send?.(told);
 }
 
@@ -76,7 +76,7 @@
 }
 
 /** Bytes of heap and of buffers outside it, after a collection. */
-export function readMemory(): Told {
+export function readMemory(): Reply {
   global.gc?.();
   const {heapUsed, external} = process.memoryUsage();
   return {kind: 'memory', memory: heapUsed + external};
--- a/bench/endpoints/deployment.ts
+++ b/bench/endpoints/deployment.ts
@@ -15,7 +15,7 @@
 /** Homes and a fleet of stand-in nodes, as processes. */
 
 /** What all processes spent in some time. */
-export interface Spending {
+export interface ResourceUsage {
   readonly seconds: number;
   /** Microseconds of processor time, all homes together. */
   readonly homeCpu: number;
@@ -30,7 +30,7 @@
 }
 
 /** What an event took. */
-export interface Played {
+export interface EventTimes {
   readonly times: readonly number[];
   readonly missed: number;
 }
@@ -38,8 +38,8 @@
 /** Processes of one variant. */
 export interface Deployment {
   /** Measures what is spent while `work` runs. */
-  spend(work: () => Promise<void>): Promise<Spending>;
-  play(event: Event, share?: number): Promise<Played>;
+  measureUsage(work: () => Promise<void>): Promise<ResourceUsage>;
+  play(event: Event, share?: number): Promise<EventTimes>;
   /** Restarts instances of the crowd, evenly spread over the time. */
   churn(restarts: number, milliseconds: number): Promise<void>;
   close(): void;
@@ -114,7 +114,7 @@
   });
 
   return {
-    async spend(work) {
+    async measureUsage(work) {
       const before = await sampleAll();
       await work();
       const after = await sampleAll();
--- a/bench/experiments/crashing-request.ts
+++ b/bench/experiments/crashing-request.ts
@@ -5,7 +5,7 @@
 import type {Deployment} from '../deployment/deployment.js';
 import type {Program} from '../deployment/program.js';
 import {setUp} from '../deployment/setup.js';
-import {startSmall} from '../deployment/small.js';
+import {startSmallDeployment} from '../deployment/small-deployment.js';
 import {compare} from '../experiment.js';
 import type {Experiment, Outcome, RunOptions} from '../experiment.js';
 import {createRandom} from '../../src/random/random.js';
@@ -44,12 +44,12 @@
     await pause(downTime);
     if (!isOver()) void follow(deployment.restart(upstream.name));
   };
-  for (const {upstream} of deployment.places) void follow(upstream);
+  for (const {upstream} of deployment.instances) void follow(upstream);
   return ends;
 }
 
 async function killNodes(deployment: Deployment, gap: number): Promise<void> {
-  for (const {node, settings} of deployment.places.slice(0, killedNodes)) {
+  for (const {node, settings} of deployment.instances.slice(0, killedNodes)) {
     await pause(gap);
     node.signal('SIGKILL');
     await node.ended();
@@ -76,7 +76,7 @@
   {seed, seconds}: RunOptions,
   path: (turn: number) => string,
 ): Promise<Figures> {
-  const deployment = await startSmall({
+  const deployment = await startSmallDeployment({
     controls: 3,
     services: [
       {name: 'crewbook', instances: 9},
@@ -90,7 +90,7 @@
     await setUp(deployment, 'examples/agency/setup.fox');
     const ends = keepUp(deployment, () => isOver);
     const duration = (seconds * 1000) / 2;
-    const targets = deployment.places.map(
+    const targets = deployment.instances.map(
       ({settings}) => settings.callerAddress,
     );
     const load = runLoad({
@@ -116,7 +116,7 @@
     return {ends: ends.length, lateEnds, others};
   } finally {
     isOver = true;
-    await deployment.end();
+    await deployment.killAll();
   }
 }
 
--- a/bench/experiments/distribution-herd.ts
+++ b/bench/experiments/distribution-herd.ts
@@ -147,7 +147,7 @@
   const rows = [
     compare(`${name}: steady p50`, 'ms', convergence.p50, base.p50),
     compare(`${name}: steady p99`, 'ms', convergence.p99, base.p99),
-    compare(`${name}: steady last`, 'ms', convergence.lastMost, base.lastMost),
+    compare(`${name}: steady last`, 'ms', convergence.lastMax, base.lastMax),
   ];
   if (name === 'no herd') return rows;
   return [
--- a/bench/experiments/distribution-window.ts
+++ b/bench/experiments/distribution-window.ts
@@ -132,7 +132,7 @@
         series: [
           curve('p50', figures, one => one.p50),
           curve('p99', figures, one => one.p99),
-          curve('last', figures, one => one.lastMost),
+          curve('last', figures, one => one.lastMax),
         ],
       },
     ],
@@ -152,7 +152,7 @@
   return [
     compare(`${at} convergence p50`, 'ms', convergence.p50, base.p50),
     compare(`${at} convergence p99`, 'ms', convergence.p99, base.p99),
-    compare(`${at} last node`, 'ms', convergence.lastMost, base.lastMost),
+    compare(`${at} last node`, 'ms', convergence.lastMax, base.lastMax),
     compare(`${at} source, a change`, 'B', one.source, baseline.source),
     compare(`${at} node, a change`, 'B', one.node, baseline.node),
   ];
--- a/bench/experiments/endpoints-size.ts
+++ b/bench/experiments/endpoints-size.ts
@@ -1,6 +1,6 @@
 import {measureTick} from '../endpoints/tick.js';
 import {startDeployment} from '../endpoints/deployment.js';
-import type {Size, Spending} from '../endpoints/deployment.js';
+import type {Size, ResourceUsage} from '../endpoints/deployment.js';
 import {compare} from '../experiment.js';
 import type {Experiment, Outcome, RunOptions} from '../experiment.js';
 
@@ -11,11 +11,11 @@
 
 interface Variant {
   readonly name: string;
-  readonly idle: Spending;
+  readonly idle: ResourceUsage;
   /** One home's and the nodes' cost of restarts, above idle. */
-  readonly churn?: Spending;
+  readonly churn?: ResourceUsage;
   /** 1/7 of all instances restart within a second. */
-  readonly mass?: Spending;
+  readonly mass?: ResourceUsage;
 }
 
 const services = 710;
@@ -46,17 +46,19 @@
   });
   const duration = options.seconds * 40;
   await pause(2000);
-  let idle: Spending | undefined;
+  let idle: ResourceUsage | undefined;
   for (let window = 0; window < windows; window++) {
-    const spent = await deployment.spend(() => pause(duration));
+    const spent = await deployment.measureUsage(() => pause(duration));
     if (idle === undefined || rate(spent) < rate(idle)) idle = spent;
   }
-  let churn: Spending | undefined;
-  let mass: Spending | undefined;
+  let churn: ResourceUsage | undefined;
+  let mass: ResourceUsage | undefined;
   if (churning) {
     const restarts = (duration / 1000) * restartsPerSecond;
-    churn = await deployment.spend(() => deployment.churn(restarts, duration));
-    mass = await deployment.spend(async () => {
+    churn = await deployment.measureUsage(() =>
+      deployment.churn(restarts, duration),
+    );
+    mass = await deployment.measureUsage(async () => {
       await deployment.churn(massRestarts, 1000);
       await pause(500);
     });
@@ -65,7 +67,7 @@
   return {name, idle: idle!, churn, mass};
 }
 
-const rate = (spent: Spending) => spent.first.cpu / spent.seconds;
+const rate = (spent: ResourceUsage) => spent.first.cpu / spent.seconds;
 
 const cpuPerSecond = ({idle}: Variant) => rate(idle);
 
--- a/bench/experiments/endpoints-spread.ts
+++ b/bench/experiments/endpoints-spread.ts
@@ -1,5 +1,5 @@
 import {startDeployment} from '../endpoints/deployment.js';
-import type {Deployment, Played, Size} from '../endpoints/deployment.js';
+import type {Deployment, EventTimes, Size} from '../endpoints/deployment.js';
 import {compare} from '../experiment.js';
 import type {Experiment, Outcome, Row, RunOptions} from '../experiment.js';
 
@@ -12,13 +12,13 @@
   /** Bytes for each node and second, idle. */
   readonly nodeBytes: number;
   readonly peerBytes: number;
-  readonly drain: Played;
+  readonly drain: EventTimes;
   /** The same for each drain and its end, above idle. */
   readonly drainHomeCpu: number;
   readonly drainBytes: number;
-  readonly crash: Played;
-  readonly hang: Played;
-  readonly mass: Played;
+  readonly crash: EventTimes;
+  readonly hang: EventTimes;
+  readonly mass: EventTimes;
   readonly massSeconds: number;
   readonly massHomeCpu: number;
   readonly massBytes: number;
@@ -38,7 +38,7 @@
     setTimeout(resolve, milliseconds);
   });
 
-async function playDrains(deployment: Deployment): Promise<Played> {
+async function playDrains(deployment: Deployment): Promise<EventTimes> {
   const times: number[] = [];
   let missed = 0;
   for (let turn = 0; turn < drains; turn++) {
@@ -56,16 +56,18 @@
 ): Promise<Variant> {
   const deployment = await startDeployment({...size, kind, seed: options.seed});
   await pause(2000);
-  const idle = await deployment.spend(() => pause(options.seconds * 120));
+  const idle = await deployment.measureUsage(() =>
+    pause(options.seconds * 120),
+  );
   const nodeSeconds = size.nodes * idle.seconds;
-  let drain: Played | undefined;
-  const drained = await deployment.spend(async () => {
+  let drain: EventTimes | undefined;
+  const drained = await deployment.measureUsage(async () => {
     drain = await playDrains(deployment);
   });
   const above = (key: 'homeCpu' | 'nodeBytes' | 'peerBytes') =>
     drained[key] - (idle[key] / idle.seconds) * drained.seconds;
-  let mass: Played | undefined;
-  const restarted = await deployment.spend(async () => {
+  let mass: EventTimes | undefined;
+  const restarted = await deployment.measureUsage(async () => {
     mass = await deployment.play('mass-restart', massShare);
   });
   const crash = await deployment.play('crash');
@@ -96,7 +98,7 @@
   ]!;
 }
 
-function timeRows(name: string, own: Played, naive: Played): Row[] {
+function timeRows(name: string, own: EventTimes, naive: EventTimes): Row[] {
   const row = (label: string, share: number) =>
     compare(
       `${name} known, ${label}`,
--- a/bench/experiments/memory.ts
+++ b/bench/experiments/memory.ts
@@ -5,7 +5,7 @@
 import {runLoad} from '../callers/load.js';
 import {parseMix} from '../callers/mix.js';
 import {setUp} from '../deployment/setup.js';
-import {startSmall} from '../deployment/small.js';
+import {startSmallDeployment} from '../deployment/small-deployment.js';
 import {compare} from '../experiment.js';
 import type {Experiment, Outcome, Row, RunOptions} from '../experiment.js';
 import {readMemory} from '../memory.js';
@@ -41,11 +41,11 @@
 ): Promise<Measured> {
   process.env['FOXBARROW_BINARY'] = binary;
   const services = [{name: 'crewbook', instances: 3}];
-  const deployment = await startSmall({controls: 3, services});
+  const deployment = await startSmallDeployment({controls: 3, services});
   try {
     await setUp(deployment, 'examples/agency/setup.fox');
     await pause(2000);
-    const [place] = deployment.places;
+    const [place] = deployment.instances;
     const idle = readMemory(place!.node.id);
     const summary = await runLoad({
       targets: [place!.settings.callerAddress],
--- a/bench/experiments/node-cost.ts
+++ b/bench/experiments/node-cost.ts
@@ -7,7 +7,7 @@
 import type {OperatorClient} from '../../src/operator/create-operator-client.js';
 import {connectOperator, findLeader, setUp} from '../deployment/setup.js';
 import type {Deployment} from '../deployment/deployment.js';
-import {startSmall} from '../deployment/small.js';
+import {startSmallDeployment} from '../deployment/small-deployment.js';
 import {compare} from '../experiment.js';
 import type {Experiment, Outcome, Row, RunOptions} from '../experiment.js';
 import {readMemory} from '../memory.js';
@@ -132,7 +132,7 @@
   options: RunOptions,
 ): Promise<Figures> {
   const leader = await findLeader(deployment);
-  const place = deployment.places[0]!;
+  const place = deployment.instances[0]!;
   const node = () => look(place.node.id, place.settings.adminAddress);
   const control = () =>
     look(
@@ -166,7 +166,7 @@
 
 async function measure(calls: string[] | undefined, options: RunOptions) {
   process.env['FOXBARROW_BINARY'] = 'dist/foxbarrow';
-  const deployment = await startSmall({
+  const deployment = await startSmallDeployment({
     controls: 3,
     services: [{name: 'crewbook', instances: 3}],
     ...(calls !== undefined && {node: {calls}}),
--- a/bench/experiments/request-balance.ts
+++ b/bench/experiments/request-balance.ts
@@ -24,7 +24,7 @@
 import type {FakeTimers} from '../../src/time/fakes/fake-timers.js';
 import type {Experiment, Outcome, Row, RunOptions} from '../experiment.js';
 import {compare} from '../experiment.js';
-import {benchAnnouncement} from '../requests/stage.js';
+import {benchAnnouncement} from '../requests/processes.js';
 
 /** A rule and what goes with it. */
 interface Rule {
--- a/bench/experiments/request-cost.ts
+++ b/bench/experiments/request-cost.ts
@@ -5,8 +5,8 @@
 import type {Experiment, Outcome, Row, RunOptions} from '../experiment.js';
 import {compare} from '../experiment.js';
 import {timeArrivals} from '../requests/arrivals.js';
-import {startCallPath, startPart} from '../requests/stage.js';
-import type {Part} from '../requests/stage.js';
+import {startCallPath, startBenchProcess} from '../requests/processes.js';
+import type {BenchProcess} from '../requests/processes.js';
 
 const rate = 1000;
 const bytes = 500;
@@ -15,8 +15,15 @@
 const microsecondsPerSecond = 1e6;
 
 async function run({seed, seconds}: RunOptions): Promise<Outcome> {
-  const {upstream, beside: gate, entry} = await startCallPath(seed, bytes);
-  const bare = await startPart({kind: 'bare', target: upstream.address});
+  const {
+    upstream,
+    upstreamNode: gate,
+    callerNode: entry,
+  } = await startCallPath(seed, bytes);
+  const bare = await startBenchProcess({
+    kind: 'bare',
+    target: upstream.address,
+  });
   const each = seconds / 3 - warmSeconds;
   const bareTime = await costOf(bare, bare, each, seed);
   const oneHop = await costOf(gate, gate, each, seed);
@@ -49,8 +56,8 @@
 
 /** Microseconds of processor time that `part` takes for a call to `target`. */
 async function costOf(
-  part: Part,
-  target: Part,
+  part: BenchProcess,
+  target: BenchProcess,
   seconds: number,
   seed: number,
 ): Promise<number> {
@@ -64,13 +71,16 @@
   return (after.processor - before.processor) / calls;
 }
 
-async function memoryRow(bare: Part, entry: Part): Promise<Row> {
+async function memoryRow(
+  bare: BenchProcess,
+  entry: BenchProcess,
+): Promise<Row> {
   const bareBytes = await memoryOf(bare);
   const entryBytes = await memoryOf(entry);
   return compare('heap of an idle connection', 'B', entryBytes, bareBytes);
 }
 
-async function memoryOf(part: Part): Promise<number> {
+async function memoryOf(part: BenchProcess): Promise<number> {
   const before = await part.usage();
   const sockets = await openIdle(part.address);
   const after = await part.usage();
--- a/bench/experiments/request-latency.ts
+++ b/bench/experiments/request-latency.ts
@@ -4,8 +4,8 @@
 import {compare} from '../experiment.js';
 import {timeArrivals} from '../requests/arrivals.js';
 import type {Timed} from '../requests/arrivals.js';
-import {startCallPath} from '../requests/stage.js';
-import type {Part} from '../requests/stage.js';
+import {startCallPath} from '../requests/processes.js';
+import type {BenchProcess} from '../requests/processes.js';
 
 /** Calls a second to each of the three ways. */
 const rates = [50, 200, 800];
@@ -15,7 +15,11 @@
 const warmSeconds = 4;
 
 async function run({seed, seconds}: RunOptions): Promise<Outcome> {
-  const {upstream, beside, entry} = await startCallPath(seed, bytes);
+  const {
+    upstream,
+    upstreamNode: beside,
+    callerNode: entry,
+  } = await startCallPath(seed, bytes);
   const parts = [upstream, beside, entry];
   const rows: Row[] = [];
   const counts: Record<string, number> = {};
@@ -44,7 +48,7 @@
 }
 
 function drive(
-  [upstream, beside, entry]: Part[],
+  [upstream, beside, entry]: BenchProcess[],
   rate: number,
   seconds: number,
   seed: number,
@@ -62,7 +66,7 @@
   });
 }
 
-async function usageOf(parts: Part[]): Promise<number[]> {
+async function usageOf(parts: BenchProcess[]): Promise<number[]> {
   const usages = await Promise.all(parts.map(part => part.usage()));
   return usages.map(usage => usage.processor);
 }
--- a/bench/requests/messages.ts
+++ b/bench/requests/messages.ts
@@ -4,7 +4,7 @@
 /** What the bench tells a process it started, and what comes back. */
 
 /** Starts a part in the process. */
-export type Order =
+export type Command =
   | {
       readonly kind: 'upstream';
       /** Milliseconds that each request takes; 0 to answer at once. */
--- a/bench/requests/process.ts
+++ b/bench/requests/process.ts
@@ -10,7 +10,7 @@
 import {createGateServer} from '../../src/request/transport/gate-server.js';
 import {createTimers} from '../../src/time/timers.js';
 import {benchConfiguration} from './messages.js';
-import type {Order, Report} from './messages.js';
+import type {Command, Report} from './messages.js';
 
 const configuration = () => benchConfiguration;
 const timers = createTimers();
@@ -20,9 +20,9 @@
 const bodyIdle = 10_000;
 const anyPort = '127.0.0.1:0';
 
-process.on('message', (order: Order) => void obey(order));
+process.on('message', (order: Command) => void obey(order));
 
-async function obey(order: Order): Promise<void> {
+async function obey(order: Command): Promise<void> {
   if (order.kind === 'usage') return tellUsage();
   if (order.kind === 'upstream') return startUpstream(order);
   if (order.kind === 'bare') return startBare(order);
@@ -46,7 +46,7 @@
   });
 }
 
-function startUpstream(order: Order & {kind: 'upstream'}): void {
+function startUpstream(order: Command & {kind: 'upstream'}): void {
   const body = Buffer.alloc(order.bytes, 'x');
   const server = createServer({keepAliveTimeout: 75_000}, (_req, res) => {
     res.setHeader('content-length', body.length);
@@ -56,7 +56,7 @@
   listen(server);
 }
 
-function startBare(order: Order & {kind: 'bare'}): void {
+function startBare(order: Command & {kind: 'bare'}): void {
   const [host, port] = order.target.split(':');
   const agent = new Agent({keepAlive: true, maxSockets: 256});
   const server = createServer(
@@ -83,7 +83,7 @@
   });
 }
 
-async function startNode(order: Order & {kind: 'node'}): Promise<void> {
+async function startNode(order: Command & {kind: 'node'}): Promise<void> {
   const gate =
     order.upstream === undefined
       ? undefined
--- a/bench/requests/stage.ts
+++ b/bench/requests/processes.ts
@@ -2,10 +2,10 @@
 import {fork} from 'node:child_process';
 import type {ChildProcess} from 'node:child_process';
 import type {Announcement} from '../../src/endpoints/messages.js';
-import type {Order, Report, Started, Usage} from './messages.js';
+import type {Command, Report, Started, Usage} from './messages.js';
 
 /** One started process. */
-export interface Part extends Started {
+export interface BenchProcess extends Started {
   usage(): Promise<Usage>;
   end(): void;
 }
@@ -13,10 +13,10 @@
 const program = new URL('./process.js', import.meta.url);
 
 /** Starts a process and a part in it. */
-export async function startPart(
-  order: Order,
+export async function startBenchProcess(
+  order: Command,
   execArgv: string[] = ['--expose-gc'],
-): Promise<Part> {
+): Promise<BenchProcess> {
   const child = fork(program, {execArgv});
   const started = (await ask(child, order)) as Started;
   return {
@@ -26,7 +26,7 @@
   };
 }
 
-function ask(child: ChildProcess, order: Order): Promise<Report> {
+function ask(child: ChildProcess, order: Command): Promise<Report> {
   return new Promise((resolve, reject) => {
     child.once('message', message => resolve(message as Report));
     child.once('exit', () => reject(new Error('a bench process ended')));
@@ -36,11 +36,11 @@
 
 /** The path that is measured: an upstream, its own node, and another node. */
 export interface CallPath {
-  readonly upstream: Part;
+  readonly upstream: BenchProcess;
   /** The node beside the upstream: entry and gate in one. */
-  readonly beside: Part;
+  readonly upstreamNode: BenchProcess;
   /** A node whose entry reaches the upstream over the other's gate. */
-  readonly entry: Part;
+  readonly callerNode: BenchProcess;
 }
 
 /** Starts the path; the upstream answers at once with `bytes`. */
@@ -49,21 +49,21 @@
   bytes: number,
 ): Promise<CallPath> {
   const instance = 'stock-desk-1';
-  const upstream = await startPart({kind: 'upstream', work: 0, bytes});
-  const beside = await startPart({
+  const upstream = await startBenchProcess({kind: 'upstream', work: 0, bytes});
+  const beside = await startBenchProcess({
     kind: 'node',
     instance,
     upstream: upstream.address,
     instances: [benchAnnouncement(instance)],
     seed,
   });
-  const entry = await startPart({
+  const entry = await startBenchProcess({
     kind: 'node',
     instance: 'caller-1',
     instances: [benchAnnouncement(instance, beside.gate)],
     seed,
   });
-  return {upstream, beside, entry};
+  return {upstream, upstreamNode: beside, callerNode: entry};
 }
 
 /** An announcement of a bench instance; an empty gate means its own node's. */
--- a/bench/upstreams/announcement.ts
+++ b/bench/upstreams/announcement.ts
@@ -17,7 +17,7 @@
 }
 
 /** Keeps the node beside an upstream informed. */
-export interface Announcing {
+export interface SelfAnnouncer {
   /** Announces at once; also done each second. */
   renew(): Promise<void>;
   /** Takes the announcement back and stops renewing. */
@@ -25,11 +25,11 @@
 }
 
 /** Starts to announce; a node that does not answer is tried again. */
-export function createAnnouncing(
+export function createSelfAnnouncer(
   node: string,
   describe: () => SelfDescription,
   timers: Timers,
-): Announcing {
+): SelfAnnouncer {
   async function send(method: 'POST' | 'DELETE', body: object): Promise<void> {
     try {
       const answer = await request(`http://${node}/upstream`, {
--- a/bench/upstreams/ledger.ts
+++ b/bench/upstreams/counts.ts
@@ -22,10 +22,10 @@
 }
 
 /** The counts while they grow. */
-export type Ledger = {-readonly [name in keyof Counts]: Counts[name]};
+export type MutableCounts = {-readonly [name in keyof Counts]: Counts[name]};
 
 /** Creates empty counts. */
-export function createLedger(): Ledger {
+export function createCounts(): MutableCounts {
   return {
     runs: {},
     uploads: {},
--- a/bench/upstreams/faults.ts
+++ b/bench/upstreams/faults.ts
@@ -21,13 +21,13 @@
 export type FaultKind = (typeof faultKinds)[number];
 
 /** The faults that wait for the next work requests. */
-export interface Faults {
+export interface FaultQueue {
   set(kind: FaultKind, count: number): void;
   take(): FaultKind | undefined;
 }
 
 /** Creates an empty queue of faults. */
-export function createFaults(): Faults {
+export function createFaultQueue(): FaultQueue {
   let kind: FaultKind | undefined;
   let left = 0;
   return {
@@ -44,7 +44,7 @@
 }
 
 /** Sends an answer as the fault bends it. */
-export function sendBent(
+export function sendFaulty(
   response: ServerResponse,
   headers: Record<string, string>,
   body: Buffer,
--- a/bench/upstreams/main.ts
+++ b/bench/upstreams/main.ts
@@ -7,7 +7,7 @@
 import {parseAddress} from '../../src/link/address.js';
 import {createRandom} from '../../src/random/random.js';
 import {createTimers} from '../../src/time/timers.js';
-import {createAnnouncing} from './announcement.js';
+import {createSelfAnnouncer} from './announcement.js';
 import {serviceShapes} from './service.js';
 import type {ServiceName} from './service.js';
 import type {Overload} from './slots.js';
@@ -64,7 +64,7 @@
 const announcing =
   values.announce === undefined
     ? undefined
-    : createAnnouncing(
+    : createSelfAnnouncer(
         values.announce,
         () => ({
           instance: values.instance ?? `${service}-${port}`,
--- a/bench/upstreams/service.ts
+++ b/bench/upstreams/service.ts
@@ -5,13 +5,13 @@
   'stock-desk' | 'parts-files' | 'crewbook' | 'drillvault';
 
 /** What a work request does. */
-export type Duty = 'lookup' | 'once' | 'upload' | 'download';
+export type WorkKind = 'lookup' | 'once' | 'upload' | 'download';
 
 /** One path of a service that does work. */
 export interface WorkRoute {
   readonly method: 'GET' | 'POST' | 'PUT';
   readonly pattern: string;
-  readonly duty: Duty;
+  readonly kind: WorkKind;
 }
 
 /** One service with the sizes of one of its instances. */
@@ -29,9 +29,9 @@
     connections: 110,
     work: 10,
     routes: [
-      {method: 'GET', pattern: '/stock/:part', duty: 'lookup'},
-      {method: 'GET', pattern: '/catalogue/:part', duty: 'lookup'},
-      {method: 'POST', pattern: '/bookings', duty: 'once'},
+      {method: 'GET', pattern: '/stock/:part', kind: 'lookup'},
+      {method: 'GET', pattern: '/catalogue/:part', kind: 'lookup'},
+      {method: 'POST', pattern: '/bookings', kind: 'once'},
     ],
   },
   'parts-files': {
@@ -39,8 +39,8 @@
     connections: 110,
     work: 10,
     routes: [
-      {method: 'PUT', pattern: '/files/:id', duty: 'upload'},
-      {method: 'GET', pattern: '/files/:id', duty: 'download'},
+      {method: 'PUT', pattern: '/files/:id', kind: 'upload'},
+      {method: 'GET', pattern: '/files/:id', kind: 'download'},
     ],
   },
   crewbook: {
@@ -48,8 +48,8 @@
     connections: 130,
     work: 10,
     routes: [
-      {method: 'GET', pattern: '/records/:id', duty: 'lookup'},
-      {method: 'POST', pattern: '/certificates', duty: 'once'},
+      {method: 'GET', pattern: '/records/:id', kind: 'lookup'},
+      {method: 'POST', pattern: '/certificates', kind: 'once'},
     ],
   },
   drillvault: {
@@ -57,9 +57,9 @@
     connections: 130,
     work: 10,
     routes: [
-      {method: 'PUT', pattern: '/videos/:id', duty: 'upload'},
-      {method: 'GET', pattern: '/gate-checks/:id', duty: 'lookup'},
-      {method: 'GET', pattern: '/validity/:id', duty: 'lookup'},
+      {method: 'PUT', pattern: '/videos/:id', kind: 'upload'},
+      {method: 'GET', pattern: '/gate-checks/:id', kind: 'lookup'},
+      {method: 'GET', pattern: '/validity/:id', kind: 'lookup'},
     ],
   },
 };
--- a/bench/upstreams/slots.ts
+++ b/bench/upstreams/slots.ts
@@ -6,13 +6,13 @@
 /** The slots of one instance; work waits its turn or is shed. */
 export interface Slots {
   /** Resolves with true once a slot is held, with false when shed. */
-  take(): Promise<boolean>;
+  acquire(): Promise<boolean>;
   /** Gives a held slot back. */
-  give(): void;
+  release(): void;
   readonly running: number;
   readonly waiting: number;
   /** The most that ever ran at once. */
-  readonly greatest: number;
+  readonly maxRunning: number;
 }
 
 /** Creates the slots of one instance. */
@@ -27,7 +27,7 @@
   }
 
   return {
-    async take() {
+    async acquire() {
       if (running < limit) {
         start();
         return true;
@@ -36,7 +36,7 @@
       await new Promise<void>(resolve => queue.push(resolve));
       return true;
     },
-    give() {
+    release() {
       running--;
       const next = queue.shift();
       if (next === undefined) return;
@@ -49,24 +49,24 @@
     get waiting() {
       return queue.length;
     },
-    get greatest() {
+    get maxRunning() {
       return greatest;
     },
   };
 }
 
 /** A value whose readers see it `lag` milliseconds late. */
-export interface Lagging<T> {
+export interface DelayedValue<T> {
   set(value: T): void;
   get(): T;
 }
 
 /** Creates a value that is seen late, as health and load endpoints are. */
-export function createLagging<T>(
+export function createDelayedValue<T>(
   first: T,
   lag: () => number,
   timers: Timers,
-): Lagging<T> {
+): DelayedValue<T> {
   let seen = first;
   return {
     set(value) {
--- a/bench/upstreams/upstream.ts
+++ b/bench/upstreams/upstream.ts
@@ -6,13 +6,13 @@
 import type {Request} from 'polka';
 import type {Random} from '../../src/random/random.js';
 import type {Timers} from '../../src/time/timers.js';
-import {createFaults, faultKinds, sendBent} from './faults.js';
+import {createFaultQueue, faultKinds, sendFaulty} from './faults.js';
 import type {FaultKind} from './faults.js';
-import {createLedger} from './ledger.js';
-import type {Counts} from './ledger.js';
+import {createCounts} from './counts.js';
+import type {Counts} from './counts.js';
 import {digestHeader, serviceShapes, tagHeader} from './service.js';
-import type {Duty, ServiceName} from './service.js';
-import {createLagging, createSlots} from './slots.js';
+import type {WorkKind, ServiceName} from './service.js';
+import {createDelayedValue, createSlots} from './slots.js';
 import type {Overload} from './slots.js';
 
 /** How one stand-in instance behaves. */
@@ -61,8 +61,8 @@
 /** Creates a stand-in upstream; its server is not yet listening. */
 export function createUpstream(options: UpstreamOptions): Upstream {
   const {timers, random} = options;
-  const ledger = createLedger();
-  const faults = createFaults();
+  const ledger = createCounts();
+  const faults = createFaultQueue();
   const files = new Map<string, Buffer>();
   const started = timers.now();
   let overload = options.overload;
@@ -71,8 +71,8 @@
   let drainedAt: number | undefined;
   let lie: {health?: number; load?: number} = {};
   const slots = createSlots(options.slots, () => overload);
-  const health = createLagging(200, () => lag, timers);
-  const load = createLagging(0, () => lag, timers);
+  const health = createDelayedValue(200, () => lag, timers);
+  const load = createDelayedValue(0, () => lag, timers);
 
   const coldLeft = () =>
     Math.max(0, 1 - (timers.now() - started) / (options.coldStart || 1));
@@ -129,7 +129,7 @@
     if (files.size > keptFiles) files.delete(files.keys().next().value!);
   }
 
-  function answerBody(request: Request, duty: Duty, body: Body): Buffer {
+  function answerBody(request: Request, duty: WorkKind, body: Body): Buffer {
     const path = request.path;
     if (duty === 'download') return files.get(path) ?? Buffer.alloc(0);
     const fields = {
@@ -152,7 +152,7 @@
   async function perform(
     request: Request,
     response: ServerResponse,
-    duty: Duty,
+    duty: WorkKind,
     body: Body,
   ): Promise<void> {
     const fault = faults.take();
@@ -174,9 +174,9 @@
   async function serve(
     request: Request,
     response: ServerResponse,
-    duty: Duty,
+    duty: WorkKind,
   ): Promise<void> {
-    if (!(await slots.take())) {
+    if (!(await slots.acquire())) {
       ledger.shed++;
       request.resume();
       sendPlain(response, 503, 'all slots are taken');
@@ -188,7 +188,7 @@
       if (body.whole) await perform(request, response, duty, body);
       else ledger.cutUploads++;
     } finally {
-      slots.give();
+      slots.release();
       load.set(slots.running);
     }
   }
@@ -230,7 +230,7 @@
   }
 
   function counts(): Counts {
-    return {...ledger, greatestConcurrency: slots.greatest};
+    return {...ledger, greatestConcurrency: slots.maxRunning};
   }
 
   const app = polka({server: createServer()});
@@ -239,7 +239,7 @@
       route.method,
       route.pattern,
       (request: IncomingMessage, response: ServerResponse) =>
-        void serve(request as Request, response, route.duty),
+        void serve(request as Request, response, route.kind),
     );
   }
   app.get('/health', (_: IncomingMessage, response: ServerResponse) =>
@@ -326,7 +326,7 @@
     [tagHeader]: tagOf(request),
     [digestHeader]: digestOf(body),
   };
-  if (fault !== undefined) return sendBent(response, headers, body, fault);
+  if (fault !== undefined) return sendFaulty(response, headers, body, fault);
   response.writeHead(200, {...headers, 'content-length': body.length});
   response.end(body);
 }
--- a/scenarios/processes/claims.test.ts
+++ b/scenarios/processes/claims.test.ts
@@ -1,9 +1,9 @@
 import test from 'ava';
 import type {ExecutionContext} from 'ava';
 import {request} from 'undici';
-import type {Deployment, Place} from '../../bench/deployment/deployment.js';
+import type {Deployment, DeployedInstance} from '../../bench/deployment/deployment.js';
 import {setUp} from '../../bench/deployment/setup.js';
-import {startSmall} from '../../bench/deployment/small.js';
+import {startSmallDeployment} from '../../bench/deployment/small-deployment.js';
 import {until} from '../../bench/deployment/until.js';
 import {call} from '../../bench/demo/calls.js';
 import type {Reply} from '../../bench/demo/calls.js';
@@ -16,7 +16,7 @@
   instances: number,
   claimRetention: number,
 ): Promise<Deployment> {
-  const deployment = await startSmall({
+  const deployment = await startSmallDeployment({
     controls: 3,
     services: [
       {name: 'crewbook', instances},
@@ -25,21 +25,21 @@
     node: {claimRetention},
     control: {claimRetention},
   });
-  t.teardown(deployment.end);
+  t.teardown(deployment.killAll);
   await setUp(deployment, 'examples/agency/setup.fox');
   return deployment;
 }
 
-function crewbooks(deployment: Deployment): Place[] {
-  return deployment.places.filter(({service}) => service === 'crewbook');
+function crewbooks(deployment: Deployment): DeployedInstance[] {
+  return deployment.instances.filter(({service}) => service === 'crewbook');
 }
 
 /** A node that is no keeper of crewbook. */
-function entryOf(deployment: Deployment): Place {
-  return deployment.places.find(({service}) => service === 'drillvault')!;
+function entryOf(deployment: Deployment): DeployedInstance {
+  return deployment.instances.find(({service}) => service === 'drillvault')!;
 }
 
-async function issue(place: Place, key: string): Promise<Reply | undefined> {
+async function issue(place: DeployedInstance, key: string): Promise<Reply | undefined> {
   try {
     return await call(place.settings.callerAddress, '/certificates', {
       method: 'POST',
--- a/scenarios/processes/control.test.ts
+++ b/scenarios/processes/control.test.ts
@@ -4,7 +4,7 @@
 import type {ExecutionContext} from 'ava';
 import type {Deployment} from '../../bench/deployment/deployment.js';
 import {connectOperator, findLeader} from '../../bench/deployment/setup.js';
-import {startSmall} from '../../bench/deployment/small.js';
+import {startSmallDeployment} from '../../bench/deployment/small-deployment.js';
 import {until} from '../../bench/deployment/until.js';
 import type {Command} from '../../src/configuration/messages.js';
 import type {OperatorClient} from '../../src/operator/create-operator-client.js';
@@ -16,8 +16,8 @@
   t: ExecutionContext,
   control: object = {},
 ): Promise<Deployment> {
-  const deployment = await startSmall({controls: 3, services: [], control});
-  t.teardown(deployment.end);
+  const deployment = await startSmallDeployment({controls: 3, services: [], control});
+  t.teardown(deployment.killAll);
   return deployment;
 }
 
--- a/scenarios/processes/crashing-request.test.ts
+++ b/scenarios/processes/crashing-request.test.ts
@@ -2,10 +2,10 @@
 import test from 'ava';
 import type {ExecutionContext} from 'ava';
 import {request} from 'undici';
-import type {Deployment, Place} from '../../bench/deployment/deployment.js';
+import type {Deployment, DeployedInstance} from '../../bench/deployment/deployment.js';
 import type {Program} from '../../bench/deployment/program.js';
 import {setUp} from '../../bench/deployment/setup.js';
-import {startSmall} from '../../bench/deployment/small.js';
+import {startSmallDeployment} from '../../bench/deployment/small-deployment.js';
 import {until} from '../../bench/deployment/until.js';
 import {call} from '../../bench/demo/calls.js';
 import type {CallOptions, Reply} from '../../bench/demo/calls.js';
@@ -26,8 +26,8 @@
   running(): readonly Program[];
 }
 
-function crewbooks(deployment: Deployment): Place[] {
-  return deployment.places.filter(({service}) => service === 'crewbook');
+function crewbooks(deployment: Deployment): DeployedInstance[] {
+  return deployment.instances.filter(({service}) => service === 'crewbook');
 }
 
 /** Starts each upstream of crewbook again when it has ended, as its VM would. */
@@ -47,7 +47,7 @@
   for (const {upstream, settings} of crewbooks(deployment)) {
     void follow(settings.name, upstream);
   }
-  const {end} = deployment;
+  const {killAll: end} = deployment;
   Object.assign(deployment, {
     end: () => {
       isOver = true;
@@ -58,7 +58,7 @@
 }
 
 async function start(t: ExecutionContext, work: number) {
-  const deployment = await startSmall({
+  const deployment = await startSmallDeployment({
     controls: 3,
     services: [
       {name: 'crewbook', instances: 5},
@@ -68,7 +68,7 @@
     crash,
   });
   const upstreams = keepUp(deployment);
-  t.teardown(() => deployment.end());
+  t.teardown(() => deployment.killAll());
   await setUp(deployment, 'examples/agency/setup.fox');
   return {deployment, upstreams};
 }
@@ -77,7 +77,7 @@
 function createSender(deployment: Deployment, path: string, sent: CallOptions) {
   let turn = 0;
   return (): Promise<Reply> => {
-    const {places} = deployment;
+    const {instances: places} = deployment;
     const {callerAddress} = places[turn++ % places.length]!.settings;
     return call(callerAddress, path, sent);
   };
--- a/scenarios/processes/distribution.test.ts
+++ b/scenarios/processes/distribution.test.ts
@@ -1,9 +1,9 @@
 import {setTimeout as pause} from 'node:timers/promises';
 import test from 'ava';
 import type {ExecutionContext} from 'ava';
-import type {Deployment, Place} from '../../bench/deployment/deployment.js';
+import type {Deployment, DeployedInstance} from '../../bench/deployment/deployment.js';
 import {connectOperator, setUp} from '../../bench/deployment/setup.js';
-import {startSmall} from '../../bench/deployment/small.js';
+import {startSmallDeployment} from '../../bench/deployment/small-deployment.js';
 import {until} from '../../bench/deployment/until.js';
 import {call} from '../../bench/demo/calls.js';
 import type {Reply} from '../../bench/demo/calls.js';
@@ -13,14 +13,14 @@
 const setUpFile = 'examples/agency/setup.fox';
 
 async function start(t: ExecutionContext): Promise<Deployment> {
-  const deployment = await startSmall({
+  const deployment = await startSmallDeployment({
     controls: 3,
     services: [
       {name: 'crewbook', instances: 2},
       {name: 'drillvault', instances: 1},
     ],
   });
-  t.teardown(deployment.end);
+  t.teardown(deployment.killAll);
   await setUp(deployment, setUpFile);
   return deployment;
 }
@@ -46,13 +46,13 @@
 
 const removeRecords: Edit = {action: 'remove', kind: 'route', name: 'records'};
 
-function lookUp(place: Place): Promise<Reply | undefined> {
+function lookUp(place: DeployedInstance): Promise<Reply | undefined> {
   const address = place.settings.callerAddress;
   return call(address, '/records/crew-1').catch(() => undefined);
 }
 
 /** Waits until a node has no route for lookups any more. */
-function awaitRemoval(place: Place): Promise<void> {
+function awaitRemoval(place: DeployedInstance): Promise<void> {
   return until(`${place.settings.name} lacks the route`, limit, async () => {
     const reply = await lookUp(place);
     return reply?.code === 5001;
@@ -74,7 +74,7 @@
     // along the removed route. It refuses as not run until a quorum is back.
     const deployment = await start(t);
     const [stale, ...others] = deployment.controls;
-    const place = deployment.places[0]!;
+    const place = deployment.instances[0]!;
     t.is((await lookUp(place))?.status, 200);
     stale!.signal('SIGSTOP');
     await change(deployment, [1, 2], removeRecords);
@@ -112,7 +112,7 @@
   },
 };
 
-function awaitReturn(place: Place): Promise<void> {
+function awaitReturn(place: DeployedInstance): Promise<void> {
   return until(`${place.settings.name} has the route`, limit, async () => {
     const reply = await lookUp(place);
     return reply?.status === 200;
@@ -128,9 +128,9 @@
     const others = [0, 1, 2].filter(index => index !== frozen);
     control.signal('SIGSTOP');
     await change(deployment, others, removeRecords);
-    await Promise.all(deployment.places.map(awaitRemoval));
+    await Promise.all(deployment.instances.map(awaitRemoval));
     await change(deployment, others, putRecords);
-    await Promise.all(deployment.places.map(awaitReturn));
+    await Promise.all(deployment.instances.map(awaitReturn));
     control.signal('SIGCONT');
   }
   t.pass();
--- a/scenarios/processes/endpoints.test.ts
+++ b/scenarios/processes/endpoints.test.ts
@@ -1,9 +1,9 @@
 import test from 'ava';
 import type {ExecutionContext} from 'ava';
 import {request} from 'undici';
-import type {Deployment, Place} from '../../bench/deployment/deployment.js';
+import type {Deployment, DeployedInstance} from '../../bench/deployment/deployment.js';
 import {setUp} from '../../bench/deployment/setup.js';
-import {startSmall} from '../../bench/deployment/small.js';
+import {startSmallDeployment} from '../../bench/deployment/small-deployment.js';
 import {until} from '../../bench/deployment/until.js';
 import {call} from '../../bench/demo/calls.js';
 
@@ -11,14 +11,14 @@
 const lookups = 40;
 
 async function start(t: ExecutionContext): Promise<Deployment> {
-  const deployment = await startSmall({
+  const deployment = await startSmallDeployment({
     controls: 3,
     services: [
       {name: 'crewbook', instances: 3},
       {name: 'drillvault', instances: 1},
     ],
   });
-  t.teardown(deployment.end);
+  t.teardown(deployment.killAll);
   await setUp(deployment, 'examples/agency/setup.fox');
   // The caller's own failure domain goes first: that of the first crewbook.
   await until('the first crewbook takes work', limit, async () => {
@@ -28,15 +28,15 @@
   return deployment;
 }
 
-function crewbooks(deployment: Deployment): Place[] {
-  return deployment.places.filter(({service}) => service === 'crewbook');
+function crewbooks(deployment: Deployment): DeployedInstance[] {
+  return deployment.instances.filter(({service}) => service === 'crewbook');
 }
 
-function caller(deployment: Deployment): Place {
-  return deployment.places.find(({service}) => service === 'drillvault')!;
+function caller(deployment: Deployment): DeployedInstance {
+  return deployment.instances.find(({service}) => service === 'drillvault')!;
 }
 
-async function begunAt(place: Place): Promise<number> {
+async function begunAt(place: DeployedInstance): Promise<number> {
   const answer = await request(`http://${place.upstreamAddress}/counts`);
   return ((await answer.body.json()) as {begun: number}).begun;
 }
@@ -135,7 +135,7 @@
     // A node's callers reach crewbook only; its own upstream is a drillvault. An
     // operator drains that. Did the node follow only what it calls, its gate
     // would not hear of the drain and go on taking work from late entries.
-    const deployment = await startSmall({
+    const deployment = await startSmallDeployment({
       controls: 3,
       services: [
         {name: 'crewbook', instances: 1},
@@ -143,7 +143,7 @@
       ],
       node: {calls: ['crewbook']},
     });
-    t.teardown(deployment.end);
+    t.teardown(deployment.killAll);
     await setUp(deployment, 'examples/agency/setup.fox');
     const {name, callerAddress} = caller(deployment).settings;
     const check = () => call(callerAddress, '/gate-checks/crew-1');
--- a/scenarios/processes/mixed-faults.test.ts
+++ b/scenarios/processes/mixed-faults.test.ts
@@ -8,7 +8,7 @@
   findLeader,
   setUp,
 } from '../../bench/deployment/setup.js';
-import {startSmall} from '../../bench/deployment/small.js';
+import {startSmallDeployment} from '../../bench/deployment/small-deployment.js';
 import {until} from '../../bench/deployment/until.js';
 import {call} from '../../bench/demo/calls.js';
 import {createRandom} from '../../src/random/random.js';
@@ -19,7 +19,7 @@
 /** Runs of all keys, over all stand-ins; none of them is killed. */
 async function countRuns(deployment: Deployment): Promise<Map<string, number>> {
   const runs = new Map<string, number>();
-  for (const {upstreamAddress} of deployment.places) {
+  for (const {upstreamAddress} of deployment.instances) {
     const answer = await request(`http://${upstreamAddress}/counts`);
     const counts = (await answer.body.json()) as {
       runs: {[key: string]: number};
@@ -38,7 +38,7 @@
 
 /** Kills and stops processes in turn, each time until all is well again. */
 async function disturb(deployment: Deployment): Promise<void> {
-  const [first, second, third] = deployment.places;
+  const [first, second, third] = deployment.instances;
   first!.node.signal('SIGKILL');
   await first!.node.ended();
   deployment.restart(first!.settings.name);
@@ -65,7 +65,7 @@
     // while nodes and the leader are killed, a node is stopped and an instance
     // drained. An issuance that was answered ran once; one that was refused as
     // not run did not run; no other ran more than once; no answer is another's.
-    const deployment = await startSmall({
+    const deployment = await startSmallDeployment({
       controls: 3,
       services: [
         {name: 'crewbook', instances: 4},
@@ -78,7 +78,7 @@
     const timers = createTimers();
     const load = runLoad(
       {
-        targets: deployment.places.map(({settings}) => settings.callerAddress),
+        targets: deployment.instances.map(({settings}) => settings.callerAddress),
         rate: 100,
         count: 3000,
         duration: 30_000,
--- a/scenarios/processes/relays.test.ts
+++ b/scenarios/processes/relays.test.ts
@@ -2,14 +2,14 @@
 import type {ExecutionContext} from 'ava';
 import type {Deployment} from '../../bench/deployment/deployment.js';
 import {connectOperator, setUp} from '../../bench/deployment/setup.js';
-import {startSmall} from '../../bench/deployment/small.js';
+import {startSmallDeployment} from '../../bench/deployment/small-deployment.js';
 import {until} from '../../bench/deployment/until.js';
 import {call} from '../../bench/demo/calls.js';
 
 const limit = 60_000;
 
 async function start(t: ExecutionContext): Promise<Deployment> {
-  const deployment = await startSmall({
+  const deployment = await startSmallDeployment({
     controls: 3,
     relays: 2,
     services: [
@@ -17,7 +17,7 @@
       {name: 'drillvault', instances: 1},
     ],
   });
-  t.teardown(deployment.end);
+  t.teardown(deployment.killAll);
   await setUp(deployment, 'examples/agency/setup.fox');
   return deployment;
 }
@@ -36,7 +36,7 @@
 
 async function lookUpEverywhere(deployment: Deployment): Promise<number[]> {
   const statuses = new Set<number>();
-  for (const {settings} of deployment.places) {
+  for (const {settings} of deployment.instances) {
     const reply = await call(settings.callerAddress, '/records/crew-1');
     statuses.add(reply.status);
   }
@@ -79,7 +79,7 @@
   const client = connectOperator(deployment);
   await until('each node is back', limit, async () => {
     const reply = await client.inForce();
-    return reply.ok && reply.value.summary.nodes === deployment.places.length;
+    return reply.ok && reply.value.summary.nodes === deployment.instances.length;
   });
   await client.close();
   t.is(await change(deployment, 'after'), '');
--- a/scenarios/processes/replaced-member.test.ts
+++ b/scenarios/processes/replaced-member.test.ts
@@ -2,12 +2,12 @@
 import {join} from 'node:path';
 import test from 'ava';
 import type {ExecutionContext} from 'ava';
-import {foxbarrow} from '../../bench/deployment/deployment.js';
+import {foxbarrowCommand} from '../../bench/deployment/deployment.js';
 import type {Deployment} from '../../bench/deployment/deployment.js';
 import {reservePorts} from '../../bench/deployment/ports.js';
 import {startProgram} from '../../bench/deployment/program.js';
 import {connectOperator, findLeader} from '../../bench/deployment/setup.js';
-import {startSmall} from '../../bench/deployment/small.js';
+import {startSmallDeployment} from '../../bench/deployment/small-deployment.js';
 import {until} from '../../bench/deployment/until.js';
 import type {OperatorClient} from '../../src/operator/create-operator-client.js';
 import {createOperatorClient} from '../../src/operator/create-operator-client.js';
@@ -23,21 +23,21 @@
   const [founder] = rest.controlSettings;
   const self = {
     name: 'control-4',
-    peerAddress: ports.take(),
-    operatorAddress: ports.take(),
-    distributionAddress: ports.take(),
+    peerAddress: ports.nextAddress(),
+    operatorAddress: ports.nextAddress(),
+    distributionAddress: ports.nextAddress(),
     failureDomain: founder!.failureDomain,
   };
   const settings = {
     ...founder!,
     ...self,
-    adminAddress: ports.take(),
+    adminAddress: ports.nextAddress(),
     dataFolder: 'data/control-4',
     members: [...founder!.members, self],
   };
   const file = join(data, 'control-4.json');
   await writeFile(file, JSON.stringify(settings));
-  const command = [...foxbarrow(), 'control', file];
+  const command = [...foxbarrowCommand(), 'control', file];
   const program = startProgram({name: self.name, command, folder: data});
   t.teardown(async () => {
     await program.stop();
@@ -58,7 +58,7 @@
     // control-3 stops and control-2 returns: only control-4 can lead. An
     // operator who knows control-2 alone must be sent on to it, although no
     // settings of control-2 name it, and each must count the other's nodes.
-    const deployment = await startSmall({
+    const deployment = await startSmallDeployment({
       controls: 3,
       services: [{name: 'crewbook', instances: nodes}],
     });
--- a/scenarios/processes/requests.test.ts
+++ b/scenarios/processes/requests.test.ts
@@ -6,10 +6,10 @@
 import test from 'ava';
 import type {ExecutionContext} from 'ava';
 import {request} from 'undici';
-import type {Deployment, Place} from '../../bench/deployment/deployment.js';
+import type {Deployment, DeployedInstance} from '../../bench/deployment/deployment.js';
 import {setUp} from '../../bench/deployment/setup.js';
-import {startSmall} from '../../bench/deployment/small.js';
-import type {SmallOptions} from '../../bench/deployment/small.js';
+import {startSmallDeployment} from '../../bench/deployment/small-deployment.js';
+import type {SmallDeploymentOptions} from '../../bench/deployment/small-deployment.js';
 import {until} from '../../bench/deployment/until.js';
 import {call, sha256} from '../../bench/demo/calls.js';
 import type {Reply} from '../../bench/demo/calls.js';
@@ -20,9 +20,9 @@
 
 async function start(
   t: ExecutionContext,
-  options: Partial<SmallOptions> = {},
+  options: Partial<SmallDeploymentOptions> = {},
 ): Promise<Deployment> {
-  const deployment = await startSmall({
+  const deployment = await startSmallDeployment({
     controls: 3,
     services: [
       {name: 'crewbook', instances: 3},
@@ -30,13 +30,13 @@
     ],
     ...options,
   });
-  t.teardown(deployment.end);
+  t.teardown(deployment.killAll);
   await setUp(deployment, setUpFile);
   return deployment;
 }
 
-function crewbooks(deployment: Deployment): Place[] {
-  return deployment.places.filter(({service}) => service === 'crewbook');
+function crewbooks(deployment: Deployment): DeployedInstance[] {
+  return deployment.instances.filter(({service}) => service === 'crewbook');
 }
 
 interface Counts {
@@ -46,7 +46,7 @@
   readonly uploads: Readonly<Record<string, string>>;
 }
 
-async function countsOf(place: Place): Promise<Counts> {
+async function countsOf(place: DeployedInstance): Promise<Counts> {
   const answer = await request(`http://${place.upstreamAddress}/counts`);
   return (await answer.body.json()) as Counts;
 }
@@ -56,13 +56,13 @@
   return all.reduce((sum, counts) => sum + (counts.runs[key] ?? 0), 0);
 }
 
-async function order(place: Place, words: string): Promise<void> {
+async function order(place: DeployedInstance, words: string): Promise<void> {
   const url = `http://${place.upstreamAddress}/control/${words}`;
   const answer = await request(url, {method: 'POST'});
   await answer.body.dump();
 }
 
-function issue(place: Place, key: string): Promise<Reply | undefined> {
+function issue(place: DeployedInstance, key: string): Promise<Reply | undefined> {
   return call(place.settings.callerAddress, '/certificates', {
     method: 'POST',
     key,
@@ -75,8 +75,8 @@
 async function findRunning(
   deployment: Deployment,
   key: string,
-): Promise<Place> {
-  let found: Place | undefined;
+): Promise<DeployedInstance> {
+  let found: DeployedInstance | undefined;
   await until(`${key} runs`, limit, async () => {
     for (const place of crewbooks(deployment)) {
       if ((await countsOf(place)).runs[key] !== undefined) found = place;
@@ -93,7 +93,7 @@
     // beside it is killed and the answer is lost. The resends go through the
     // other nodes under the same key: each is told unknown or gets the answer.
     const deployment = await start(t, {work: 1500});
-    const entry = deployment.places.find(
+    const entry = deployment.instances.find(
       ({service}) => service === 'drillvault',
     )!;
     const first = issue(entry, 'cert-1');
@@ -117,7 +117,7 @@
     // works. The scheduler resends through another node and gets the answer of
     // the one run.
     const deployment = await start(t, {work: 1500});
-    const entry = deployment.places.find(
+    const entry = deployment.instances.find(
       ({service}) => service === 'drillvault',
     )!;
     const first = issue(entry, 'cert-2');
@@ -136,7 +136,7 @@
     // The certificate was issued and answered; then the node beside its upstream
     // is killed. A resend finds the stored answer with the keepers.
     const deployment = await start(t);
-    const entry = deployment.places.find(
+    const entry = deployment.instances.find(
       ({service}) => service === 'drillvault',
     )!;
     const first = await issue(entry, 'cert-3');
@@ -173,7 +173,7 @@
   // client fails, or is told unknown where nothing was passed on yet; half a
   // record must never look like a short success.
   const deployment = await start(t);
-  const entry = deployment.places.find(
+  const entry = deployment.instances.find(
     ({service}) => service === 'drillvault',
   )!;
   for (const kind of ['cut', 'length', 'reset-after-head']) {
@@ -204,7 +204,7 @@
     {method: 'PUT', body, headers: {'content-length': length}},
   );
   body.write(chunk);
-  const drillvault = deployment.places.find(
+  const drillvault = deployment.instances.find(
     ({service}) => service === 'drillvault',
   )!;
   await until('the upload has begun', limit, async () => {
@@ -239,7 +239,7 @@
   const deployment = await start(t);
   for (const control of deployment.controls) control.signal('SIGKILL');
   await Promise.all(deployment.controls.map(control => control.ended()));
-  for (const place of deployment.places) {
+  for (const place of deployment.instances) {
     const reply = await call(place.settings.callerAddress, '/records/crew-2');
     t.is(reply.status, 200);
   }
@@ -272,7 +272,7 @@
     const folder = await mkdtemp(join(tmpdir(), 'foxbarrow-upload-'));
     const bytes = Buffer.alloc(4 * 1024 * 1024, 'evacuation');
     await writeFile(join(folder, 'video'), bytes);
-    const drillvault = deployment.places.find(
+    const drillvault = deployment.instances.find(
       ({service}) => service === 'drillvault',
     )!;
     const put = () =>
--- a/scenarios/processes/restart.test.ts
+++ b/scenarios/processes/restart.test.ts
@@ -8,7 +8,7 @@
   findLeader,
   setUp,
 } from '../../bench/deployment/setup.js';
-import {startSmall} from '../../bench/deployment/small.js';
+import {startSmallDeployment} from '../../bench/deployment/small-deployment.js';
 import {until} from '../../bench/deployment/until.js';
 import {call} from '../../bench/demo/calls.js';
 import type {Reply} from '../../bench/demo/calls.js';
@@ -40,7 +40,7 @@
   const services = [{name: 'crewbook', instances: crewbooks}];
   // Snapshots so often that a control process knows its state at a start.
   const control = {snapshotEntries: 2};
-  const deployment = await startSmall({controls: 3, services, control});
+  const deployment = await startSmallDeployment({controls: 3, services, control});
   t.teardown(deployment.stop);
   return deployment;
 }
@@ -72,7 +72,7 @@
     ) as [number, number, number];
     const signal = (indexes: readonly number[], name: 'SIGSTOP' | 'SIGCONT') =>
       indexes.forEach(index => deployment.controls[index]!.signal(name));
-    const [place] = deployment.places;
+    const [place] = deployment.instances;
     const address = place!.settings.callerAddress;
     await until('the route is in force', limit, async () => {
       return (await look(address))?.status === 200;
--- a/src/operator/testing/control-processes.ts
+++ b/src/operator/testing/control-processes.ts
@@ -7,7 +7,7 @@
 import process from 'node:process';
 import {fileURLToPath} from 'node:url';
 import {reservePorts} from '../../../bench/deployment/ports.js';
-import type {Ports} from '../../../bench/deployment/ports.js';
+import type {PortRange} from '../../../bench/deployment/ports.js';
 
 /** Control processes on loopback, for tests of what a kill leaves behind. */
 export interface ControlProcesses {
@@ -72,7 +72,7 @@
       role: 'control',
       region: 'astana',
       ...member,
-      adminAddress: ports.take(),
+      adminAddress: ports.nextAddress(),
       dataFolder: join(folder, member.name),
       members: group,
     };
@@ -136,13 +136,13 @@
 function createMember(
   name: string,
   failureDomain: string,
-  ports: Ports,
+  ports: PortRange,
 ): ControlMember {
   return {
     name,
-    peerAddress: ports.take(),
-    operatorAddress: ports.take(),
-    distributionAddress: ports.take(),
+    peerAddress: ports.nextAddress(),
+    operatorAddress: ports.nextAddress(),
+    distributionAddress: ports.nextAddress(),
     failureDomain,
   };
 }
