--- a/bench/callers/load.test.ts
+++ b/bench/callers/load.test.ts
@@ -8,10 +8,10 @@
 import {runLoad} from './load.js';
 import type {Summary} from './load.js';
 
-/** Milliseconds; generous, so that only a hang gets there. */
-const patience = 60_000;
+/** Milliseconds; long enough that only a hanging call reaches it. */
+const timeoutOfAnswered = 60_000;
 
-/** Milliseconds for an answer that never comes. */
+/** Milliseconds to wait for an answer that is never sent. */
 const hangTimeout = 300;
 
 async function start() {
@@ -37,7 +37,7 @@
       targets: [target],
       rate: 1000,
       count,
-      duration: patience,
+      duration: timeoutOfAnswered,
       mix: [{kind: 'booking', weight: 1}],
       uploadBytes: 100,
       timeout,
@@ -49,9 +49,9 @@
   return {upstream, target, load};
 }
 
-test('whole answers are counted and each booking runs once', async t => {
+test('complete answers are counted and each booking runs once', async t => {
   const {upstream, load} = await start();
-  const summary = await load(30, patience);
+  const summary = await load(30, timeoutOfAnswered);
   t.is(summary.endings.whole, 30);
   t.is(Object.keys(upstream.counts().runs).length, 30);
   t.true(upstream.counts().greatestConcurrency <= 2);
@@ -59,13 +59,16 @@
 });
 
 for (const kind of faultKinds) {
-  // The upstream bends its next answer by the fault. What the caller holds is
-  // no whole answer, so the checker must count it among the bad endings.
-  test(`an answer bent by ${kind} is not taken for whole`, async t => {
+  // The upstream injects the fault into its next answer. The caller receives no
+  // complete answer, so the load must count the call as failed or cut.
+  test(`an answer with the fault ${kind} does not count as whole`, async t => {
     const {upstream, target, load} = await start();
     const command = `http://${target}/control/fault?kind=${kind}&count=1`;
     await fetch(command, {method: 'POST'});
-    const {endings} = await load(1, kind === 'hang' ? hangTimeout : patience);
+    const {endings} = await load(
+      1,
+      kind === 'hang' ? hangTimeout : timeoutOfAnswered,
+    );
     t.is(endings.whole, 0);
     t.is(endings.failed + endings.cut, 1);
     upstream.server.close();
--- a/bench/callers/load.ts
+++ b/bench/callers/load.ts
@@ -8,24 +8,27 @@
 import {createCall, pickKind} from './mix.js';
 import type {Call, CallKind, MixEntry} from './mix.js';
 
-/** A bounded load: arrivals come by chance whether or not answers do. */
+/**
+ * A bounded open-loop load: calls arrive at random times, independent of the
+ * answers to earlier calls.
+ */
 export interface LoadOptions {
-  /** Addresses that take the calls, in turn by chance. */
+  /** Addresses that receive the calls; each call picks one at random. */
   readonly targets: readonly string[];
-  /** Calls a second. */
+  /** Calls per second. */
   readonly rate: number;
-  /** Calls in all. */
+  /** Largest number of calls. */
   readonly count: number;
-  /** Milliseconds after which no more calls are made. */
+  /** Milliseconds after which no more calls start. */
   readonly duration: number;
   readonly mix: readonly MixEntry[];
-  /** Size of an upload's body. */
+  /** Body size of an upload. */
   readonly uploadBytes: number;
-  /** Milliseconds a caller waits; it leaves after them. */
+  /** Milliseconds after which a caller disconnects. */
   readonly timeout: number;
-  /** Calls open at once; arrivals beyond are counted as unsent. */
+  /** Largest number of calls at a time; further arrivals are counted as unsent. */
   readonly openLimit: number;
-  /** First part of each call's tag. */
+  /** Prefix of each call's tag. */
   readonly name: string;
   readonly random: Random;
   readonly timers: Timers;
@@ -33,36 +36,37 @@
 
 /**
  * How a call ended.
- * - `whole`: status 200, its own tag, and the digest fits the body.
- * - `refused`: a numbered refusal.
- * - `cut`: the answer began and was visibly not whole.
+ * - `whole`: status 200, the call's tag, and the digest matches the body.
+ * - `refused`: an answer with another status, such as a numbered refusal.
+ * - `cut`: the answer started and was detected to be incomplete.
  * - `failed`: no answer.
- * - `wrong`: taken for whole by HTTP, but another's or damaged. Never right.
+ * - `wrong`: complete according to HTTP, but damaged or the answer to another
+ *   call. This must never happen.
  */
 export type Ending = 'whole' | 'refused' | 'cut' | 'failed' | 'wrong';
 
-/** What became of one call. */
+/** The result of one call. */
 export interface Outcome {
   readonly call: Call;
   readonly tag: string;
   readonly ending: Ending;
   readonly status: number;
-  /** The refusal's number; 0 for none. */
+  /** Code number of a refusal; 0 if there is none. */
   readonly code: number;
   readonly effect: string | undefined;
-  /** Milliseconds from the intended arrival. */
+  /** Milliseconds since the scheduled arrival. */
   readonly latency: number;
   readonly message?: string;
 }
 
-/** The sums of a load. */
+/** The totals of a load. */
 export interface Summary {
   readonly sent: number;
   readonly unsent: number;
   readonly endings: Record<Ending, number>;
-  /** Refusals by number and effect. */
+  /** Number of refusals by status, code and effect. */
   readonly refusals: Record<string, number>;
-  /** Milliseconds of whole answers, by kind of call and over all. */
+  /** Latency of whole answers, by kind of call and for `all`. */
   readonly latency: Record<string, Percentiles>;
 }
 
@@ -77,7 +81,7 @@
 
 const microseconds = 1000;
 
-/** Runs a load to its end; `observe` sees each outcome. */
+/** Runs a load until all calls have ended; `observe` receives each outcome. */
 export async function runLoad(
   options: LoadOptions,
   observe: (outcome: Outcome) => void = () => {},
@@ -85,49 +89,52 @@
   const {timers, random} = options;
   const agent = new Agent({connections: 128, pipelining: 1});
   const tally = createTally();
-  const open = new Set<Promise<void>>();
+  const openCalls = new Set<Promise<void>>();
   const start = timers.now();
   let next = start;
-  let made = 0;
+  let started = 0;
   let unsent = 0;
 
-  async function perform(tag: string, due: number): Promise<void> {
+  async function perform(tag: string, scheduledAt: number): Promise<void> {
     const kind = pickKind(options.mix, random);
     const call = createCall(kind, tag, options.uploadBytes, random);
     const target = random.pick(options.targets);
     const sent = await sendCall(agent, target, call, tag, options.timeout);
-    const outcome = {...sent, latency: timers.now() - due};
+    const outcome = {...sent, latency: timers.now() - scheduledAt};
     tally.add(outcome);
     observe(outcome);
   }
 
-  function arrive(due: number): void {
-    const tag = `${options.name}-${made++}`;
-    if (open.size >= options.openLimit) {
+  function arrive(scheduledAt: number): void {
+    const tag = `${options.name}-${started++}`;
+    if (openCalls.size >= options.openLimit) {
       unsent++;
       return;
     }
-    const running = perform(tag, due).finally(() => open.delete(running));
-    open.add(running);
+    const running = perform(tag, scheduledAt).finally(() =>
+      openCalls.delete(running),
+    );
+    openCalls.add(running);
   }
 
-  const more = () => made < options.count && next - start <= options.duration;
-  while (more()) {
+  const isRunning = () =>
+    started < options.count && next - start <= options.duration;
+  while (isRunning()) {
     const wait = next - timers.now();
     if (wait > 0) await new Promise<void>(done => timers.after(wait, done));
-    for (; more() && next <= timers.now(); next += gap()) arrive(next);
+    for (; isRunning() && next <= timers.now(); next += gap()) arrive(next);
   }
-  await Promise.all(open);
+  await Promise.all(openCalls);
   await agent.close();
-  return tally.sum(made - unsent, unsent);
+  return tally.sum(started - unsent, unsent);
 
-  /** Milliseconds to the next arrival of a Poisson process. */
+  /** Milliseconds until the next arrival of a Poisson process. */
   function gap(): number {
     return (-Math.log(1 - random.fraction()) * 1000) / options.rate;
   }
 }
 
-/** Sends one call and checks that its answer is whole and its own. */
+/** Sends a call and checks that the answer is complete and belongs to it. */
 export async function sendCall(
   agent: Agent,
   target: string,
@@ -136,7 +143,7 @@
   timeout: number,
 ): Promise<Omit<Outcome, 'latency'>> {
   let status = 0;
-  const end = (
+  const endWith = (
     ending: Ending,
     message?: string,
     code = 0,
@@ -166,15 +173,15 @@
     const code = Number(answer.headers['foxbarrow-code'] ?? 0);
     if (status !== 200) {
       const effect = answer.headers['foxbarrow-effect'] as string | undefined;
-      return end('refused', bytes.toString(), code, effect);
+      return endWith('refused', bytes.toString(), code, effect);
     }
-    const isOwn = answer.headers[tagHeader] === tag;
+    const hasOwnTag = answer.headers[tagHeader] === tag;
     const digest = createHash('sha256').update(bytes).digest('hex');
     const isWhole = answer.headers[digestHeader] === digest;
-    if (isOwn && isWhole) return end('whole');
-    return end('wrong', `own: ${isOwn}, whole: ${isWhole}`);
+    if (hasOwnTag && isWhole) return endWith('whole');
+    return endWith('wrong', `own tag: ${hasOwnTag}, whole: ${isWhole}`);
   } catch (error) {
-    return end(status === 0 ? 'failed' : 'cut', (error as Error).message);
+    return endWith(status === 0 ? 'failed' : 'cut', (error as Error).message);
   }
 }
 
@@ -213,7 +220,7 @@
   };
 }
 
-/** Percentiles of a histogram of microseconds, in milliseconds. */
+/** Converts a histogram in microseconds to percentiles in milliseconds. */
 export function percentilesOf(histogram: Histogram): Percentiles {
   const at = (percent: number) =>
     histogram.getValueAtPercentile(percent) / microseconds;
--- a/bench/callers/main.ts
+++ b/bench/callers/main.ts
@@ -1,4 +1,4 @@
-/** A bounded load of checked calls as a process of its own; prints JSON. */
+/** Runs a bounded load as a separate process and prints its summary as JSON. */
 import {parseArgs} from 'node:util';
 import {createRandom} from '../../src/random/random.js';
 import {createTimers} from '../../src/time/timers.js';
@@ -7,12 +7,12 @@
 
 const {values} = parseArgs({
   options: {
-    /** Addresses of entries, with commas between. */
+    /** Comma-separated addresses of entries. */
     target: {type: 'string'},
     rate: {type: 'string', default: '50'},
     count: {type: 'string', default: '1000'},
     seconds: {type: 'string', default: '10'},
-    /** Such as `stock-lookup=8,booking=1`. */
+    /** Weights of the kinds of calls, such as `stock-lookup=8,booking=1`. */
     mix: {type: 'string', default: 'stock-lookup'},
     'upload-bytes': {type: 'string', default: '100000'},
     timeout: {type: 'string', default: '5000'},
--- a/bench/callers/mix.ts
+++ b/bench/callers/mix.ts
@@ -1,6 +1,6 @@
 import type {Random} from '../../src/random/random.js';
 
-/** What a caller asks for. */
+/** Kinds of calls. */
 export const callKinds = [
   'stock-lookup',
   'booking',
@@ -15,24 +15,26 @@
 
 export type CallKind = (typeof callKinds)[number];
 
-/** One kind of call and how often it comes, relative to the others. */
+/** A kind of call with its relative frequency. */
 export interface MixEntry {
   readonly kind: CallKind;
   readonly weight: number;
 }
 
-/** One call, ready to be sent. */
+/** The content of a call. */
 export interface Call {
   readonly kind: CallKind;
   readonly method: 'GET' | 'POST' | 'PUT';
   readonly path: string;
+  /** Idempotency key. */
   readonly key?: string;
   readonly body?: Buffer;
 }
 
-const names = 500;
+/** Number of different items, such as parts and crew members, in lookups. */
+const itemCount = 500;
 
-/** Reads `kind=weight,kind=weight`; throws on an unknown kind. */
+/** Parses `kind=weight,kind=weight`; throws on an unknown kind. */
 export function parseMix(text: string): MixEntry[] {
   return text.split(',').map(part => {
     const [kind, weight = '1'] = part.split('=');
@@ -43,25 +45,25 @@
   });
 }
 
-/** Draws a kind by its weight. */
+/** Picks a random kind according to the weights. */
 export function pickKind(mix: readonly MixEntry[], random: Random): CallKind {
-  const total = mix.reduce((sum, share) => sum + share.weight, 0);
-  let left = random.fraction() * total;
-  for (const share of mix) {
-    left -= share.weight;
-    if (left < 0) return share.kind;
+  const total = mix.reduce((sum, entry) => sum + entry.weight, 0);
+  let remaining = random.fraction() * total;
+  for (const entry of mix) {
+    remaining -= entry.weight;
+    if (remaining < 0) return entry.kind;
   }
   return mix[0]!.kind;
 }
 
-/** Makes a call; `tag` is its own name, also its idempotency key. */
+/** Creates a call; `tag` is also its idempotency key if it needs one. */
 export function createCall(
   kind: CallKind,
   tag: string,
   uploadBytes: number,
   random: Random,
 ): Call {
-  const id = random.integer(names);
+  const id = random.integer(itemCount);
   const body = () => Buffer.alloc(uploadBytes, tag);
   const order = () => Buffer.from(JSON.stringify({tag, part: id, count: 1}));
   switch (kind) {
--- a/bench/deployment/deployment.ts
+++ b/bench/deployment/deployment.ts
@@ -1,4 +1,4 @@
-/** A whole example deployment as processes on loopback. */
+/** Starts a complete example deployment as processes on loopback. */
 import {mkdtemp, readdir, rm} from 'node:fs/promises';
 import {tmpdir} from 'node:os';
 import {join, resolve} from 'node:path';
@@ -13,7 +13,7 @@
 import {runProgram, startProgram} from './program.js';
 import type {ProgramResult, Program} from './program.js';
 
-/** A node with the stand-in upstream beside it. */
+/** An instance of a service: a node and the stand-in upstream beside it. */
 export interface DeployedInstance {
   readonly settings: NodeSettings;
   readonly service: string;
@@ -29,49 +29,56 @@
   readonly instances: readonly DeployedInstance[];
   /** The settings of the control processes, in the order of `controls`. */
   readonly controlSettings: readonly ControlSettings[];
-  /** The folder in which the data folders lie. */
+  /** The working folder of all processes; contains their data folders. */
   readonly data: string;
   /** Runs one operator command. */
   operate(...words: readonly string[]): Promise<ProgramResult>;
-  /** Starts a program again under its settings. */
+  /** Starts a program again with the same settings. */
   restart(name: string): Program;
-  /** Stops all in a planned way; gives the names that did not exit with 0. */
+  /** Stops all processes with SIGTERM; returns those that did not exit with 0. */
   stop(): Promise<readonly string[]>;
   /**
-   * Kills all at once, frozen ones too: the end of a test that judges no stop,
-   * which would wait for keepers that no one is left to follow.
+   * Kills all processes immediately, including suspended ones. For tests that do
+   * not check the planned stop, which waits for keepers to hand over their claims
+   * even if no successor is running.
    */
   killAll(): Promise<void>;
 }
 
-/** How a deployment is started. */
+/** Options of startDeployment. */
 export interface DeploymentOptions {
   /** Folder of settings files, such as `examples/qurm`. */
   readonly folder: string;
-  /** Milliseconds that one piece of the upstreams' work takes. */
+  /** Duration of one piece of the upstreams' work, in milliseconds. */
   readonly work: number;
-  /** Work whose path or body holds this word ends its stand-in. */
+  /** A request whose path or body contains this word crashes its upstream. */
   readonly crash?: string | undefined;
-  /** The next stand-in's address; by default some ports above its node's. */
+  /** Returns the next upstream's address; default: some ports above its node's. */
   readonly upstreamAddress?: () => string;
 }
 
-/** Ports from a node's caller address to its stand-in upstream's. */
+/** Distance from the port for a node's callers to its upstream's port. */
 const upstreamPortOffset = 5;
 
-/** The program under test: the one binary when it is named, else modules. */
+/**
+ * Command line of the program under test: the binary that FOXBARROW_BINARY
+ * names, or the compiled modules.
+ */
 export function foxbarrowCommand(): readonly string[] {
   const binary = process.env['FOXBARROW_BINARY'];
   if (binary !== undefined && binary !== '') return [resolve(binary)];
   return [process.execPath, resolve('build/src/cli/bin.js')];
 }
 
-/** Starts control processes, nodes and stand-ins of all settings in a folder. */
+/**
+ * Starts the control processes, relays and nodes of all settings in a folder,
+ * and an upstream beside each node.
+ */
 export async function startDeployment(
   options: DeploymentOptions,
 ): Promise<Deployment> {
   const data = await mkdtemp(join(tmpdir(), 'foxbarrow-'));
-  const settings = await readAll(options.folder);
+  const settings = await readAllSettings(options.folder);
   const started = new Map<string, Program>();
 
   function start(one: Settings): Program {
@@ -82,24 +89,25 @@
     return program;
   }
 
-  const upstreams = new Map<string, readonly string[]>();
+  const upstreamCommands = new Map<string, readonly string[]>();
 
   function startUpstream(name: string, command: readonly string[]): Program {
     const program = startProgram({name, command, folder: data});
-    upstreams.set(name, command);
+    upstreamCommands.set(name, command);
     started.set(name, program);
     return program;
   }
 
   function restart(name: string): Program {
-    const command = upstreams.get(name);
+    const command = upstreamCommands.get(name);
     if (command !== undefined) return startUpstream(name, command);
     return start(settings.find(one => one.name === name)!);
   }
 
-  function startPlace(one: NodeSettings): DeployedInstance {
+  function startInstance(one: NodeSettings): DeployedInstance {
     const service = one.name.replace(/-\d+$/, '');
-    const upstreamAddress = options.upstreamAddress?.() ?? besides(one);
+    const upstreamAddress =
+      options.upstreamAddress?.() ?? defaultUpstreamAddress(one);
     const node = start(one);
     const command = [
       process.execPath,
@@ -114,10 +122,10 @@
   }
 
   const controls = settings.filter(isControl);
-  const places = settings.filter(isNode);
+  const nodes = settings.filter(isNode);
   const controlPrograms = controls.map(start);
   const relays = settings.filter(({role}) => role === 'relay').map(start);
-  const startedPlaces = places.map(startPlace);
+  const startedInstances = nodes.map(startInstance);
   const operators = controls.map(({operatorAddress}) => operatorAddress);
 
   return {
@@ -125,7 +133,7 @@
     relays,
     controlSettings: controls,
     data,
-    instances: startedPlaces,
+    instances: startedInstances,
     operate: (...words) =>
       runProgram({
         name: 'operator',
@@ -160,18 +168,18 @@
   };
 }
 
-function besides({callerAddress}: NodeSettings): string {
+function defaultUpstreamAddress({callerAddress}: NodeSettings): string {
   const {host, port} = parseAddress(callerAddress);
   return `${host}:${port + upstreamPortOffset}`;
 }
 
-async function readAll(folder: string): Promise<Settings[]> {
+async function readAllSettings(folder: string): Promise<Settings[]> {
   const names = await readdir(folder);
   const files = names.filter(name => name.endsWith('.json'));
-  return Promise.all(files.map(name => readOne(join(folder, name))));
+  return Promise.all(files.map(name => readSettings(join(folder, name))));
 }
 
-async function readOne(file: string): Promise<Settings> {
+async function readSettings(file: string): Promise<Settings> {
   const result = await resolveSettings(file);
   if (!result.ok) throw new Error(result.message);
   return result.value;
--- a/bench/deployment/ports.ts
+++ b/bench/deployment/ports.ts
@@ -1,12 +1,12 @@
-/** Ports for processes of a test, apart from those of all other tests. */
+/** Reserves ports for the processes of a test, separate from other tests. */
 import {createServer} from 'node:net';
 import type {Server} from 'node:net';
 
-/** A range of ports that no other holder of a range uses. */
+/** A range of ports that no other test uses. */
 export interface PortRange {
-  /** The next address of the range. */
+  /** Returns the next unused address of the range. */
   nextAddress(): string;
-  /** Gives the range back. */
+  /** Releases the range. */
   release(): void;
 }
 
@@ -16,9 +16,9 @@
 const rangeCount = 100;
 
 /**
- * Takes a range below the ports that the system gives to clients, so that no
- * outgoing connection sits on one of them. The first port of the range is held
- * open as its lock.
+ * Reserves a range below the system's ephemeral ports, so that no outgoing
+ * connection occupies one of them. A server on the first port of the range
+ * serves as its lock.
  */
 export async function reservePorts(): Promise<PortRange> {
   for (let range = 0; range < rangeCount; range++) {
@@ -35,14 +35,16 @@
       release: () => void lock.close(),
     };
   }
-  throw new Error('no range of ports is free; end earlier test processes');
+  throw new Error(
+    'no range of ports is free; stop the processes of earlier test runs',
+  );
 }
 
-/** Whether nobody, such as a program left behind, listens in a range. */
+/** Whether no process, such as one of an earlier run, listens in a range. */
 async function areFree(from: number, to: number): Promise<boolean> {
-  const tries = [];
-  for (let port = from; port < to; port++) tries.push(tryListen(port));
-  const servers = await Promise.all(tries);
+  const attempts = [];
+  for (let port = from; port < to; port++) attempts.push(tryListen(port));
+  const servers = await Promise.all(attempts);
   for (const server of servers) server?.close();
   return servers.every(server => server !== undefined);
 }
--- a/bench/deployment/program.ts
+++ b/bench/deployment/program.ts
@@ -1,50 +1,50 @@
-/** One program of a bench or test, started as a process and ended by its id. */
+/** Runs the programs of benches and tests as child processes. */
 import {spawn} from 'node:child_process';
 import type {ChildProcess} from 'node:child_process';
 import {once} from 'node:events';
 import process from 'node:process';
 
-/** How one program is started. */
+/** Options of startProgram and runProgram. */
 export interface ProgramOptions {
   readonly name: string;
   /** Path of the program, then its arguments. */
   readonly command: readonly string[];
-  /** The folder it runs in. */
+  /** The working directory. */
   readonly folder: string;
 }
 
-/** A started program. */
+/** A program that was started. */
 export interface Program {
   readonly name: string;
   readonly id: number;
-  /** What it wrote to standard error so far, its last 64 KiB. */
+  /** The last 64 KiB of its standard error so far. */
   log(): string;
-  /** Sends TERM and resolves with the exit code. */
+  /** Sends SIGTERM and resolves with the exit code. */
   stop(): Promise<number>;
-  /** Sends a signal; KILL, STOP and CONT make failures. */
+  /** Sends a signal; SIGKILL, SIGSTOP and SIGCONT simulate failures. */
   signal(name: NodeJS.Signals): void;
-  /** Whether its death was asked for with KILL. */
+  /** Whether `signal` sent SIGKILL. */
   wasKilled(): boolean;
-  /** Resolves with the exit code, or 128 for a death by signal. */
+  /** Resolves with the exit code, or 128 if a signal ended the process. */
   ended(): Promise<number>;
 }
 
-const keptLog = 64 * 1024;
+const maxLogLength = 64 * 1024;
 const killedCode = 128;
 
 /** Starts a program. */
 export function startProgram(options: ProgramOptions): Program {
-  const [path, ...words] = options.command;
-  const child = spawn(path!, words, {
+  const [path, ...parameters] = options.command;
+  const child = spawn(path!, parameters, {
     cwd: options.folder,
     stdio: ['ignore', 'ignore', 'pipe'],
   });
-  running.add(child);
-  child.once('exit', () => running.delete(child));
+  runningChildren.add(child);
+  child.once('exit', () => runningChildren.delete(child));
   let log = '';
   let killed = false;
   child.stderr.on('data', (chunk: Buffer) => {
-    log = (log + chunk.toString()).slice(-keptLog);
+    log = (log + chunk.toString()).slice(-maxLogLength);
   });
   return {
     name: options.name,
@@ -63,14 +63,14 @@
   };
 }
 
-const running = new Set<ChildProcess>();
+const runningChildren = new Set<ChildProcess>();
 
 /**
- * A test run that is cut short must leave nothing behind: its programs would
- * go on holding their ports and answer the next run's calls.
+ * Kills the programs of an aborted test run. They would otherwise keep their
+ * ports occupied and answer the calls of the next run.
  */
 process.on('exit', () => {
-  for (const child of running) child.kill('SIGKILL');
+  for (const child of runningChildren) child.kill('SIGKILL');
 });
 
 async function ended(child: ChildProcess): Promise<number> {
@@ -80,19 +80,19 @@
   return child.exitCode ?? killedCode;
 }
 
-/** Runs a program to its end and gives what it printed. */
+/** The exit code and output of a program. */
 export interface ProgramResult {
   readonly code: number;
   readonly output: string;
   readonly errors: string;
 }
 
-/** Runs a program that ends by itself. */
+/** Runs a program until it exits. */
 export async function runProgram(
   options: ProgramOptions,
 ): Promise<ProgramResult> {
-  const [path, ...words] = options.command;
-  const child = spawn(path!, words, {
+  const [path, ...parameters] = options.command;
+  const child = spawn(path!, parameters, {
     cwd: options.folder,
     stdio: ['ignore', 'pipe', 'pipe'],
   });
--- a/bench/deployment/setup.ts
+++ b/bench/deployment/setup.ts
@@ -1,4 +1,4 @@
-/** Brings a started deployment to where callers can use it. */
+/** Configures a started deployment so that it can serve callers. */
 import {resolve} from 'node:path';
 import {createOperatorClient} from '../../src/operator/create-operator-client.js';
 import type {OperatorClient} from '../../src/operator/create-operator-client.js';
@@ -6,9 +6,10 @@
 import type {Deployment} from './deployment.js';
 import {until} from './until.js';
 
-const limit = 60_000;
+/** Milliseconds that each step may take. */
+const timeout = 60_000;
 
-/** A client of all control processes, or of those named by index. */
+/** Connects to all control processes, or to those with the given indexes. */
 export function connectOperator(
   deployment: Deployment,
   indexes?: readonly number[],
@@ -19,15 +20,15 @@
   return createOperatorClient({
     addresses,
     timers: createTimers(),
-    timeout: limit,
+    timeout,
   });
 }
 
-/** Waits for a leader; gives its index. */
+/** Waits for a leader; returns its index. */
 export async function findLeader(deployment: Deployment): Promise<number> {
   const client = connectOperator(deployment);
   let leader = -1;
-  await until('the control group has a leader', limit, async () => {
+  await until('the control group has a leader', timeout, async () => {
     const views = await client.control();
     leader = views.findIndex(view => view.ok && view.value.role === 'leader');
     return leader >= 0;
@@ -36,7 +37,7 @@
   return leader;
 }
 
-/** Applies a file of commands and waits until all nodes have them. */
+/** Applies a file of commands and waits until they are in force at all nodes. */
 export async function setUp(
   deployment: Deployment,
   file: string,
@@ -46,32 +47,33 @@
   if (applied.code !== 0) throw new Error(applied.errors);
   const version = /version (\d+)/.exec(applied.output)?.[1] ?? '0';
   const client = connectOperator(deployment);
-  await until('all nodes are known', limit, async () => {
-    const reply = await client.inForce();
-    return (
-      reply.ok && reply.value.summary.nodes === deployment.instances.length
-    );
+  await until('all nodes have registered', timeout, async () => {
+    const view = await client.inForce();
+    return view.ok && view.value.summary.nodes === deployment.instances.length;
   });
-  await waitFor(client, Number(version));
-  let appointed: number | undefined;
-  await until('each service has its keepers', limit, async () => {
-    appointed = await findKeepers(client, deployment);
-    return appointed !== undefined;
+  await waitForVersion(client, Number(version));
+  let assignedVersion: number | undefined;
+  await until('each service has its keepers assigned', timeout, async () => {
+    assignedVersion = await findKeepers(client, deployment);
+    return assignedVersion !== undefined;
   });
-  await waitFor(client, appointed!);
+  await waitForVersion(client, assignedVersion!);
   await client.close();
 }
 
-/** Waits until all nodes have a version. */
-async function waitFor(client: OperatorClient, version: number): Promise<void> {
-  const waited = await client.wait(version, limit);
+/** Waits until a version is in force at all nodes. */
+async function waitForVersion(
+  client: OperatorClient,
+  version: number,
+): Promise<void> {
+  const waited = await client.wait(version, timeout);
   if (!waited.ok) throw new Error(waited.refusal.message);
   if (!waited.value.inForce) throw new Error(`version ${version} not in force`);
 }
 
 /**
- * The version in which the leader has appointed who keeps each service's claims;
- * a node takes keyed work once it has that in force.
+ * The version in which the keepers of all services are assigned. A node accepts
+ * requests with idempotency keys once that version is in force there.
  */
 async function findKeepers(
   client: OperatorClient,
@@ -80,9 +82,9 @@
   const names = new Set(deployment.instances.map(({service}) => service));
   const reply = await client.items('service');
   if (!reply.ok) return undefined;
-  const kept = reply.value.items.filter(
+  const assigned = reply.value.items.filter(
     ({kind, value}) =>
       kind === 'service' && names.has(value.name) && value.keepers,
   );
-  return kept.length === names.size ? reply.value.version : undefined;
+  return assigned.length === names.size ? reply.value.version : undefined;
 }
--- a/bench/deployment/small-deployment.ts
+++ b/bench/deployment/small-deployment.ts
@@ -1,4 +1,4 @@
-/** Settings of a small deployment on free ports, for failure tests. */
+/** Starts a small deployment on reserved ports, for failure tests. */
 import {mkdtemp, rm, writeFile} from 'node:fs/promises';
 import {tmpdir} from 'node:os';
 import {join} from 'node:path';
@@ -7,29 +7,29 @@
 import {reservePorts} from './ports.js';
 import type {PortRange} from './ports.js';
 
-/** What a small deployment has. */
+/** Options of startSmallDeployment. */
 export interface SmallDeploymentOptions {
   readonly controls: number;
-  /** Relays, which are then the nodes' homes; default none. */
+  /** Number of relays; if any, they are the nodes' homes. Default: none. */
   readonly relays?: number;
-  /** Instances by service. */
+  /** Services with the number of their instances. */
   readonly services: ReadonlyArray<{
     readonly name: string;
     readonly instances: number;
   }>;
-  /** More settings for each node, such as `claimRetention`. */
+  /** Additional settings of each node, such as `claimRetention`. */
   readonly node?: object;
-  /** More settings for each control process. */
+  /** Additional settings of each control process. */
   readonly control?: object;
-  /** Milliseconds that the upstreams' work takes; default 5. */
+  /** Duration of a piece of the upstreams' work in milliseconds; default 5. */
   readonly work?: number;
-  /** Work whose path or body holds this word ends its upstream. */
+  /** A request whose path or body contains this word crashes its upstream. */
   readonly crash?: string;
 }
 
 const defaultWork = 5;
 
-/** Unchecked settings as they go into a file. */
+/** Settings as written to a file, not validated. */
 interface SettingsFile {
   readonly name: string;
   readonly [key: string]: unknown;
@@ -37,7 +37,10 @@
 
 const failureDomains = ['hall-a', 'hall-b', 'hall-c'];
 
-/** Starts a small deployment; its `stop` gives its ports and files back. */
+/**
+ * Starts a small deployment; stopping or killing it releases its ports and
+ * removes its files.
+ */
 export async function startSmallDeployment(
   options: SmallDeploymentOptions,
 ): Promise<Deployment> {
--- a/bench/deployment/until.ts
+++ b/bench/deployment/until.ts
@@ -2,16 +2,16 @@
 
 const pollInterval = 25;
 
-/** Asks again and again until the answer is true; throws after `limit` ms. */
+/** Polls a condition until it is true; throws after `timeout` milliseconds. */
 export async function until(
-  what: string,
-  limit: number,
-  ask: () => Promise<boolean> | boolean,
+  description: string,
+  timeout: number,
+  condition: () => Promise<boolean> | boolean,
 ): Promise<void> {
-  const end = Date.now() + limit;
+  const end = Date.now() + timeout;
   while (Date.now() < end) {
-    if (await ask()) return;
+    if (await condition()) return;
     await pause(pollInterval);
   }
-  throw new Error(`not within ${limit} ms: ${what}`);
+  throw new Error(`not within ${timeout} ms: ${description}`);
 }
--- a/bench/experiments/request-cost.ts
+++ b/bench/experiments/request-cost.ts
@@ -18,7 +18,7 @@
   const {
     upstream,
     upstreamNode: gate,
-    callerNode: entry,
+    entry,
   } = await startCallPath(seed, bytes);
   const bare = await startBenchProcess({
     kind: 'bare',
--- a/bench/experiments/request-latency.ts
+++ b/bench/experiments/request-latency.ts
@@ -18,7 +18,7 @@
   const {
     upstream,
     upstreamNode: beside,
-    callerNode: entry,
+    entry,
   } = await startCallPath(seed, bytes);
   const parts = [upstream, beside, entry];
   const rows: Row[] = [];
--- a/bench/requests/processes.ts
+++ b/bench/requests/processes.ts
@@ -40,7 +40,7 @@
   /** The node beside the upstream: entry and gate in one. */
   readonly upstreamNode: BenchProcess;
   /** A node whose entry reaches the upstream over the other's gate. */
-  readonly callerNode: BenchProcess;
+  readonly entry: BenchProcess;
 }
 
 /** Starts the path; the upstream answers at once with `bytes`. */
@@ -63,7 +63,7 @@
     instances: [benchAnnouncement(instance, beside.gate)],
     seed,
   });
-  return {upstream, upstreamNode: beside, callerNode: entry};
+  return {upstream, upstreamNode: beside, entry};
 }
 
 /** An announcement of a bench instance; an empty gate means its own node's. */
--- a/bench/upstreams/announcement.ts
+++ b/bench/upstreams/announcement.ts
@@ -1,9 +1,10 @@
 import {request} from 'undici';
 import type {Subscription, Timers} from '../../src/time/timers.js';
 
-const renewal = 1000;
+/** Milliseconds between renewals, and the timeout of each request. */
+const renewalInterval = 1000;
 
-/** What an upstream says of itself to the node beside it. */
+/** The announcement that an upstream sends to the node beside it. */
 export interface SelfDescription {
   readonly instance: string;
   readonly service: string;
@@ -12,19 +13,19 @@
   readonly connections: number;
   readonly healthPath: string;
   readonly state: 'warming' | 'serving' | 'draining';
-  /** Differs after each start. */
+  /** Wall-clock time of the process start; tells one start from the next. */
   readonly started: number;
 }
 
-/** Keeps the node beside an upstream informed. */
+/** Announces an upstream to the node beside it. */
 export interface SelfAnnouncer {
-  /** Announces at once; also done each second. */
+  /** Announces immediately; this also happens every second. */
   renew(): Promise<void>;
-  /** Takes the announcement back and stops renewing. */
+  /** Withdraws the announcement and stops the renewals. */
   withdraw(): Promise<void>;
 }
 
-/** Starts to announce; a node that does not answer is tried again. */
+/** Starts to announce; a failed request is repeated with the next renewal. */
 export function createSelfAnnouncer(
   node: string,
   describe: () => SelfDescription,
@@ -36,21 +37,24 @@
         method,
         headers: {'content-type': 'application/json'},
         body: JSON.stringify(body),
-        headersTimeout: renewal,
+        headersTimeout: renewalInterval,
       });
       await answer.body.dump();
     } catch {
-      // The node is not up yet or gone; the next renewal tells it.
+      // The node is not running; the next renewal announces again.
     }
   }
 
   const renew = () => send('POST', describe());
-  const ticking: Subscription = timers.every(renewal, () => void renew());
+  const renewals: Subscription = timers.every(
+    renewalInterval,
+    () => void renew(),
+  );
   void renew();
   return {
     renew,
     async withdraw() {
-      ticking.cancel();
+      renewals.cancel();
       await send('DELETE', {instance: describe().instance});
     },
   };
--- a/bench/upstreams/counts.ts
+++ b/bench/upstreams/counts.ts
@@ -1,30 +1,31 @@
-/** What an instance did, for the checks of benches and scenarios. */
+/** Counts of what an instance did, for the checks of benches and scenarios. */
 
-/** The counts as `GET /counts` gives them. */
+/** The counts as `GET /counts` returns them. */
 export interface Counts {
-  /** Times that work began, by idempotency key (by tag where none came). */
+  /** Number of runs by idempotency key, or by tag for requests without a key. */
   readonly runs: Record<string, number>;
-  /** SHA-256 digests of whole uploads, by path. */
+  /** SHA-256 digests of complete uploads, by path. */
   readonly uploads: Record<string, string>;
   readonly begun: number;
   readonly finished: number;
   readonly shed: number;
-  /** Work given up because its caller left. */
+  /** Work that was cancelled because its caller disconnected. */
   readonly cancelled: number;
-  /** Work given up because its deadline passed. */
+  /** Work that was cancelled because its deadline passed. */
   readonly expired: number;
   readonly cutUploads: number;
-  /** Work that came while draining, and how late the last came, in ms. */
+  /** Work that arrived while the instance was draining. */
   readonly lateWork: number;
+  /** Milliseconds from the start of the drain to the last such arrival. */
   readonly latestWork: number;
   readonly greatestConcurrency: number;
   readonly greatestConnections: number;
 }
 
-/** The counts while they grow. */
+/** Counts that are still being updated. */
 export type MutableCounts = {-readonly [name in keyof Counts]: Counts[name]};
 
-/** Creates empty counts. */
+/** Creates counts that are all zero. */
 export function createCounts(): MutableCounts {
   return {
     runs: {},
--- a/bench/upstreams/faults.ts
+++ b/bench/upstreams/faults.ts
@@ -1,13 +1,14 @@
 import type {ServerResponse} from 'node:http';
 
 /**
- * Faults on command.
- * - `reset-unrun`: the connection ends before the work begins.
- * - `reset-before-head`: the work runs, the connection ends without an answer.
- * - `reset-after-head`: the connection ends after the answer's head.
- * - `cut`: the connection ends in the middle of the body.
- * - `length`: the head promises more bytes than the body has.
- * - `hang`: the work runs and no answer ever comes.
+ * Faults that a test can inject into the next answers of an upstream.
+ * - `reset-unrun`: the connection closes before the work starts.
+ * - `reset-before-head`: the work runs, then the connection closes without a
+ *   response.
+ * - `reset-after-head`: the connection closes after the response head.
+ * - `cut`: the connection closes in the middle of the body.
+ * - `length`: the content-length header is larger than the body.
+ * - `hang`: the work runs and no response is sent.
  */
 export const faultKinds = [
   'reset-unrun',
@@ -20,30 +21,32 @@
 
 export type FaultKind = (typeof faultKinds)[number];
 
-/** The faults that wait for the next work requests. */
+/** Faults to inject into the next work requests. */
 export interface FaultQueue {
+  /** Injects the fault into the next `count` requests; replaces earlier ones. */
   set(kind: FaultKind, count: number): void;
+  /** The fault for the current request, if any. */
   take(): FaultKind | undefined;
 }
 
-/** Creates an empty queue of faults. */
+/** Creates a queue without faults. */
 export function createFaultQueue(): FaultQueue {
   let kind: FaultKind | undefined;
-  let left = 0;
+  let remaining = 0;
   return {
     set(next, count) {
       kind = next;
-      left = count;
+      remaining = count;
     },
     take() {
-      if (left === 0) return undefined;
-      left--;
+      if (remaining === 0) return undefined;
+      remaining--;
       return kind;
     },
   };
 }
 
-/** Sends an answer as the fault bends it. */
+/** Sends a response that is damaged by the fault. */
 export function sendFaulty(
   response: ServerResponse,
   headers: Record<string, string>,
@@ -51,8 +54,8 @@
   fault: FaultKind,
 ): void {
   const socket = response.socket;
-  const promised = fault === 'length' ? body.length + 10 : body.length;
-  const head = {...headers, 'content-length': `${promised}`};
+  const declaredLength = fault === 'length' ? body.length + 10 : body.length;
+  const head = {...headers, 'content-length': `${declaredLength}`};
   if (fault === 'hang') return;
   if (fault === 'reset-before-head' || fault === 'reset-unrun') {
     socket?.destroy();
--- a/bench/upstreams/main.ts
+++ b/bench/upstreams/main.ts
@@ -1,7 +1,7 @@
 /**
- * A stand-in upstream as a process of its own; see `UpstreamOptions`. A TERM
- * signal announces draining, lets its work finish, takes the announcement
- * back and exits.
+ * Runs a stand-in upstream as a separate process; see `UpstreamOptions`. On
+ * SIGTERM it announces that it drains, finishes its work, withdraws the
+ * announcement and exits.
  */
 import {parseArgs} from 'node:util';
 import {parseAddress} from '../../src/link/address.js';
@@ -26,9 +26,9 @@
     seed: {type: 'string', default: '1'},
     lag: {type: 'string', default: '0'},
     overload: {type: 'string', default: 'queue'},
-    /** Work whose path or body holds this word ends the process. */
+    /** A request whose path or body contains this word crashes the process. */
     crash: {type: 'string'},
-    /** Milliseconds between the announced drain and the stop. */
+    /** Milliseconds between announcing the drain and closing the server. */
     grace: {type: 'string', default: '1500'},
   },
 });
@@ -61,7 +61,7 @@
 });
 upstream.server.listen(port, host, () => process.stdout.write('listening\n'));
 
-const announcing =
+const announcer =
   values.announce === undefined
     ? undefined
     : createSelfAnnouncer(
@@ -81,11 +81,11 @@
 
 async function stop(): Promise<void> {
   upstream.drain();
-  await announcing?.renew();
-  const grace = announcing === undefined ? 0 : Number(values.grace);
-  await new Promise<void>(done => timers.after(grace, done));
+  await announcer?.renew();
+  const drainDelay = announcer === undefined ? 0 : Number(values.grace);
+  await new Promise<void>(done => timers.after(drainDelay, done));
   await upstream.idle();
-  await announcing?.withdraw();
+  await announcer?.withdraw();
   upstream.server.close(() => process.exit(0));
   upstream.server.closeIdleConnections();
   timers.after(Number(values.grace) + 1000, () => process.exit(0));
--- a/bench/upstreams/service.ts
+++ b/bench/upstreams/service.ts
@@ -1,24 +1,24 @@
-/** What each stand-in service offers, in the brief's sizes. */
+/** The routes and instance sizes of the stand-in services. */
 
-/** The services that the bench can stand in for. */
+/** The services that a stand-in upstream can simulate. */
 export type ServiceName =
   'stock-desk' | 'parts-files' | 'crewbook' | 'drillvault';
 
-/** What a work request does. */
+/** What a work request does; `once` is work that must not run twice. */
 export type WorkKind = 'lookup' | 'once' | 'upload' | 'download';
 
-/** One path of a service that does work. */
+/** A route of a service whose requests do work. */
 export interface WorkRoute {
   readonly method: 'GET' | 'POST' | 'PUT';
   readonly pattern: string;
   readonly kind: WorkKind;
 }
 
-/** One service with the sizes of one of its instances. */
+/** A service and the capacity of one of its instances. */
 export interface ServiceShape {
   readonly slots: number;
   readonly connections: number;
-  /** Milliseconds that one piece of work takes by default. */
+  /** Default duration of one piece of work, in milliseconds. */
   readonly work: number;
   readonly routes: readonly WorkRoute[];
 }
@@ -64,8 +64,8 @@
   },
 };
 
-/** Header by which a caller names its request; the answer carries it back. */
+/** Header with the caller's tag of a request; the response repeats it. */
 export const tagHeader = 'x-tag';
 
-/** Header with the SHA-256 digest of the answer's body, in hex. */
+/** Header with the SHA-256 digest of the response body, in hex. */
 export const digestHeader = 'x-digest';
--- a/bench/upstreams/slots.ts
+++ b/bench/upstreams/slots.ts
@@ -1,17 +1,17 @@
 import type {Timers} from '../../src/time/timers.js';
 
-/** What happens to work that comes when all slots are taken. */
+/** What happens to work that arrives while all slots are taken. */
 export type Overload = 'queue' | 'shed';
 
-/** The slots of one instance; work waits its turn or is shed. */
+/** The slots of one instance; work without a slot is queued or shed. */
 export interface Slots {
-  /** Resolves with true once a slot is held, with false when shed. */
+  /** Resolves with true once a slot is acquired, with false if shed. */
   acquire(): Promise<boolean>;
-  /** Gives a held slot back. */
+  /** Releases an acquired slot. */
   release(): void;
   readonly running: number;
   readonly waiting: number;
-  /** The most that ever ran at once. */
+  /** Largest number of slots that were in use at the same time. */
   readonly maxRunning: number;
 }
 
@@ -19,11 +19,11 @@
 export function createSlots(limit: number, overload: () => Overload): Slots {
   const queue: Array<() => void> = [];
   let running = 0;
-  let greatest = 0;
+  let maxRunning = 0;
 
   function start(): void {
     running++;
-    greatest = Math.max(greatest, running);
+    maxRunning = Math.max(maxRunning, running);
   }
 
   return {
@@ -50,29 +50,29 @@
       return queue.length;
     },
     get maxRunning() {
-      return greatest;
+      return maxRunning;
     },
   };
 }
 
-/** A value whose readers see it `lag` milliseconds late. */
+/** A value whose changes become visible `lag` milliseconds later. */
 export interface DelayedValue<T> {
   set(value: T): void;
   get(): T;
 }
 
-/** Creates a value that is seen late, as health and load endpoints are. */
+/** Creates a delayed value; simulates stale health and load endpoints. */
 export function createDelayedValue<T>(
-  first: T,
+  initial: T,
   lag: () => number,
   timers: Timers,
 ): DelayedValue<T> {
-  let seen = first;
+  let visible = initial;
   return {
     set(value) {
-      if (lag() === 0) seen = value;
-      else timers.after(lag(), () => (seen = value));
+      if (lag() === 0) visible = value;
+      else timers.after(lag(), () => (visible = value));
     },
-    get: () => seen,
+    get: () => visible,
   };
 }
--- a/bench/upstreams/upstream.ts
+++ b/bench/upstreams/upstream.ts
@@ -15,32 +15,32 @@
 import {createDelayedValue, createSlots} from './slots.js';
 import type {Overload} from './slots.js';
 
-/** How one stand-in instance behaves. */
+/** How a stand-in instance behaves. */
 export interface UpstreamOptions {
   readonly service: ServiceName;
   readonly instance: string;
   readonly slots: number;
   readonly connections: number;
-  /** Milliseconds that a piece of work takes, on average. */
+  /** Average duration of a piece of work, in milliseconds. */
   readonly work: number;
-  /** Milliseconds over which a fresh instance is slow. */
+  /** Milliseconds after the start during which work takes longer. */
   readonly coldStart: number;
-  /** Milliseconds by which health and load answers are late. */
+  /** Milliseconds by which health and load responses are out of date. */
   readonly lag: number;
   readonly overload: Overload;
-  /** Work whose path or body holds this word ends the process. */
+  /** A request whose path or body contains this word crashes the process. */
   readonly crash?: string;
   readonly timers: Timers;
   readonly random: Random;
 }
 
-/** A stand-in upstream. */
+/** A stand-in upstream with its HTTP server. */
 export interface Upstream {
   readonly server: Server;
   state(): 'warming' | 'serving' | 'draining';
   drain(): void;
   counts(): Counts;
-  /** Resolves when no work runs or waits. */
+  /** Resolves when no work is running or queued. */
   idle(): Promise<void>;
 }
 
@@ -50,18 +50,19 @@
   readonly bytes: Buffer;
 }
 
+/** Work takes 1 + this many times as long at the beginning of a cold start. */
 const coldFactor = 9;
-const keptFileLimit = 8 * 1024 * 1024;
-const keptFiles = 64;
-const idlePoll = 20;
+const maxStoredFileBytes = 8 * 1024 * 1024;
+const maxStoredFiles = 64;
+const idlePollInterval = 20;
 
-/** Exit code of an instance that a request ended, as after an abort. */
+/** Exit code of a simulated crash: that of a process killed by SIGABRT. */
 const crashCode = 134;
 
-/** Creates a stand-in upstream; its server is not yet listening. */
+/** Creates a stand-in upstream; its server does not listen yet. */
 export function createUpstream(options: UpstreamOptions): Upstream {
   const {timers, random} = options;
-  const ledger = createCounts();
+  const tally = createCounts();
   const faults = createFaultQueue();
   const files = new Map<string, Buffer>();
   const started = timers.now();
@@ -69,17 +70,19 @@
   let work = options.work;
   let lag = options.lag;
   let drainedAt: number | undefined;
-  let lie: {health?: number; load?: number} = {};
+  let overrides: {health?: number; load?: number} = {};
   const slots = createSlots(options.slots, () => overload);
   const health = createDelayedValue(200, () => lag, timers);
   const load = createDelayedValue(0, () => lag, timers);
 
-  const coldLeft = () =>
+  const remainingColdStart = () =>
     Math.max(0, 1 - (timers.now() - started) / (options.coldStart || 1));
 
   function state(): 'warming' | 'serving' | 'draining' {
     if (drainedAt !== undefined) return 'draining';
-    return options.coldStart > 0 && coldLeft() > 0 ? 'warming' : 'serving';
+    return options.coldStart > 0 && remainingColdStart() > 0
+      ? 'warming'
+      : 'serving';
   }
 
   function setDrain(on: boolean): void {
@@ -87,57 +90,68 @@
     health.set(on ? 503 : 200);
   }
 
-  function noteLate(): void {
+  function recordLateWork(): void {
     if (drainedAt === undefined) return;
-    ledger.lateWork++;
-    ledger.latestWork = timers.now() - drainedAt;
+    tally.lateWork++;
+    tally.latestWork = timers.now() - drainedAt;
   }
 
   function duration(): number {
-    const cold = options.coldStart > 0 ? 1 + coldFactor * coldLeft() : 1;
+    const cold =
+      options.coldStart > 0 ? 1 + coldFactor * remainingColdStart() : 1;
     return work * cold * (0.5 + random.fraction());
   }
 
-  /** Works for its time; false when the caller left or the deadline passed. */
-  function labour(response: ServerResponse, timeout: number): Promise<boolean> {
+  /**
+   * Takes the time of one piece of work. Resolves with false if the caller
+   * disconnected or the deadline passed.
+   */
+  function simulateWork(
+    response: ServerResponse,
+    timeout: number,
+  ): Promise<boolean> {
     const needed = duration();
     return new Promise(resolve => {
-      const end = timers.after(Math.min(needed, timeout), () => {
-        response.off('close', leave);
-        if (timeout < needed) ledger.expired++;
+      const timer = timers.after(Math.min(needed, timeout), () => {
+        response.off('close', cancel);
+        if (timeout < needed) tally.expired++;
         resolve(timeout >= needed);
       });
-      const leave = () => {
-        end.cancel();
-        ledger.cancelled++;
+      const cancel = () => {
+        timer.cancel();
+        tally.cancelled++;
         resolve(false);
       };
-      if (response.destroyed) leave();
-      else response.once('close', leave);
+      if (response.destroyed) cancel();
+      else response.once('close', cancel);
     });
   }
 
-  function noteRun(request: Request): void {
+  function recordRun(request: Request): void {
     const name = header(request, 'idempotency-key') ?? tagOf(request);
-    ledger.runs[name] = (ledger.runs[name] ?? 0) + 1;
+    tally.runs[name] = (tally.runs[name] ?? 0) + 1;
   }
 
-  function keep(path: string, body: Body): void {
-    ledger.uploads[path] = body.digest;
-    if (body.bytes.length > keptFileLimit) return;
+  function storeUpload(path: string, body: Body): void {
+    tally.uploads[path] = body.digest;
+    if (body.bytes.length > maxStoredFileBytes) return;
     files.set(path, body.bytes);
-    if (files.size > keptFiles) files.delete(files.keys().next().value!);
+    if (files.size > maxStoredFiles) files.delete(files.keys().next().value!);
   }
 
-  function answerBody(request: Request, duty: WorkKind, body: Body): Buffer {
+  function createAnswerBody(
+    request: Request,
+    kind: WorkKind,
+    body: Body,
+  ): Buffer {
     const path = request.path;
-    if (duty === 'download') return files.get(path) ?? Buffer.alloc(0);
+    if (kind === 'download') return files.get(path) ?? Buffer.alloc(0);
     const fields = {
       instance: options.instance,
       path,
       tag: tagOf(request),
       received: body.digest,
-      runs: ledger.runs[header(request, 'idempotency-key') ?? ''],
+      runs: tally.runs[header(request, 'idempotency-key') ?? ''],
       note: 'x'.repeat(300),
     };
     return Buffer.from(JSON.stringify(fields));
@@ -152,32 +166,32 @@
   async function perform(
     request: Request,
     response: ServerResponse,
-    duty: WorkKind,
+    kind: WorkKind,
     body: Body,
   ): Promise<void> {
     const fault = faults.take();
     if (fault === 'reset-unrun') return void request.socket.destroy();
-    ledger.begun++;
-    noteLate();
-    if (duty === 'once') noteRun(request);
+    tally.begun++;
+    recordLateWork();
+    if (kind === 'once') recordRun(request);
     const timeout = Number(header(request, 'foxbarrow-timeout') ?? Infinity);
-    if (!(await labour(response, timeout))) {
+    if (!(await simulateWork(response, timeout))) {
       if (!response.destroyed) sendPlain(response, 504, 'the deadline passed');
       return;
     }
     if (isCrashing(request, body)) process.exit(crashCode);
-    if (duty === 'upload') keep(request.path, body);
-    ledger.finished++;
-    sendAnswer(request, response, answerBody(request, duty, body), fault);
+    if (kind === 'upload') storeUpload(request.path, body);
+    tally.finished++;
+    sendAnswer(request, response, createAnswerBody(request, kind, body), fault);
   }
 
   async function serve(
     request: Request,
     response: ServerResponse,
-    duty: WorkKind,
+    kind: WorkKind,
   ): Promise<void> {
     if (!(await slots.acquire())) {
-      ledger.shed++;
+      tally.shed++;
       request.resume();
       sendPlain(response, 503, 'all slots are taken');
       return;
@@ -185,15 +199,15 @@
     load.set(slots.running);
     try {
       const body = await readBody(request);
-      if (body.whole) await perform(request, response, duty, body);
-      else ledger.cutUploads++;
+      if (body.whole) await perform(request, response, kind, body);
+      else tally.cutUploads++;
     } finally {
       slots.release();
       load.set(slots.running);
     }
   }
 
-  /** Takes one command; each of its query parameters sets one thing. */
+  /** Runs a command of a test; the query parameters are its arguments. */
   function command(request: Request, response: ServerResponse): void {
     const query = new URLSearchParams(request.search ?? '');
     const number = (name: string) => Number(query.get(name) ?? NaN);
@@ -213,7 +227,7 @@
         break;
       }
       case 'lie':
-        lie = {
+        overrides = {
           ...(query.has('health') && {health: number('health')}),
           ...(query.has('load') && {load: number('load')}),
         };
@@ -230,7 +244,7 @@
   }
 
   function counts(): Counts {
-    return {...ledger, greatestConcurrency: slots.maxRunning};
+    return {...tally, greatestConcurrency: slots.maxRunning};
   }
 
   const app = polka({server: createServer()});
@@ -243,11 +257,11 @@
     );
   }
   app.get('/health', (_: IncomingMessage, response: ServerResponse) =>
-    sendPlain(response, lie.health ?? health.get(), 'health'),
+    sendPlain(response, overrides.health ?? health.get(), 'health'),
   );
   app.get('/load', (_: IncomingMessage, response: ServerResponse) =>
     sendJson(response, {
-      running: lie.load ?? load.get(),
+      running: overrides.load ?? load.get(),
       slots: options.slots,
     }),
   );
@@ -263,13 +277,16 @@
   server.on('request', (request, response) =>
     app.handler(request as Request, response),
   );
-  let open = 0;
+  let openConnections = 0;
   server.on('connection', socket => {
-    open++;
-    ledger.greatestConnections = Math.max(ledger.greatestConnections, open);
-    socket.on('close', () => open--);
+    openConnections++;
+    tally.greatestConnections = Math.max(
+      tally.greatestConnections,
+      openConnections,
+    );
+    socket.on('close', () => openConnections--);
     socket.on('error', () => socket.destroy());
-    if (open > options.connections) socket.destroy();
+    if (openConnections > options.connections) socket.destroy();
   });
   server.keepAliveTimeout = 60_000;
   server.requestTimeout = 0;
@@ -281,7 +298,7 @@
     counts,
     async idle() {
       while (slots.running + slots.waiting > 0) {
-        await new Promise<void>(done => timers.after(idlePoll, done));
+        await new Promise<void>(done => timers.after(idlePollInterval, done));
       }
     },
   };
@@ -300,7 +317,7 @@
   return createHash('sha256').update(bytes).digest('hex');
 }
 
-/** Reads a body; one that was cut is not whole. */
+/** Reads a body; it is not `whole` if the connection closed early. */
 function readBody(request: IncomingMessage): Promise<Body> {
   return new Promise(resolve => {
     const chunks: Buffer[] = [];
