--- a/bench/claims/far-network.ts
+++ b/bench/claims/far-network.ts
@@ -3,28 +3,28 @@
 import type {Address, Link, Listener} from '../../src/link/link.js';
 import type {Timers} from '../../src/time/timers.js';
 
-/** Bytes that links of one network carried. */
+/** Traffic sent on all links of a network. */
 export interface Traffic {
   bytes: number;
   messages: number;
 }
 
 /**
- * A network that sends each message `delay` milliseconds late, as a distance
- * would, and counts what was sent. Connections are not delayed.
+ * Wraps a network so that each message is sent `delay` milliseconds later, which
+ * simulates a distance, and counts the traffic. Connecting is not delayed.
  */
 export function createFarNetwork(
-  near: Network,
+  inner: Network,
   delay: number,
   timers: Timers,
   traffic: Traffic,
 ): Network {
   function wrap(link: Link): Link {
-    let sent = link.bytesOut;
+    let countedBytes = link.bytesOut;
     const send = (message: unknown) => {
       link.send(message);
-      traffic.bytes += link.bytesOut + link.pending - sent;
-      sent = link.bytesOut + link.pending;
+      traffic.bytes += link.bytesOut + link.pending - countedBytes;
+      countedBytes = link.bytesOut + link.pending;
       traffic.messages++;
     };
     return new (class extends ForwardingLink {
@@ -37,11 +37,11 @@
 
   return new (class extends Network {
     listen(address: Address, accept: (link: Link) => void): Promise<Listener> {
-      return near.listen(address, link => accept(wrap(link)));
+      return inner.listen(address, link => accept(wrap(link)));
     }
 
     async connect(address: Address): Promise<Link> {
-      return wrap(await near.connect(address));
+      return wrap(await inner.connect(address));
     }
   })();
 }
--- a/bench/claims/placements.test.ts
+++ b/bench/claims/placements.test.ts
@@ -9,7 +9,7 @@
 
 const timers = createTimers();
 
-/** Books under one key; the gate dies with its claim and tells nobody. */
+/** Acquires a claim for a booking and never settles it, like a gate that crashes. */
 async function book(claims: Claims): Promise<string> {
   const acquired = await claims.acquire({
     service: 'stock-desk',
@@ -20,17 +20,17 @@
   return acquired.kind;
 }
 
-// What the caller sees: two bookings for one key. Order: the gate that ran the
-// first dies before it answers; the resend goes through another gate. What the
-// first one knew must not have died with it.
-test('claims in a gate’s memory die with it: a resend runs again', async t => {
+// Guards against two bookings for one idempotency key. The gate that runs the
+// first booking crashes before it answers, and the caller sends the request again
+// through another gate. The claim must survive the crash of the first gate.
+test('claims in a gate’s memory are lost with the gate, and a repeated request runs again', async t => {
   const first = createGatePlacement(timers);
   t.is(await book(first.claims), 'granted');
   const second = createGatePlacement(timers);
   t.is(await book(second.claims), 'granted');
 });
 
-test('claims with keepers outlive their gate: a resend does not run', async t => {
+test('claims with keepers survive a crash of the gate, and a repeated request does not run', async t => {
   const network = createTcpNetwork();
   const first = await createKeeperPlacement(timers, network);
   t.is(await book(first.claims), 'granted');
--- a/bench/claims/placements.ts
+++ b/bench/claims/placements.ts
@@ -1,4 +1,4 @@
-/** The three places where claims could live, each as `Claims`. */
+/** Three places where claims could be stored, each as an implementation of `Claims`. */
 import {mkdtemp, rm} from 'node:fs/promises';
 import {createServer} from 'node:net';
 import type {AddressInfo} from 'node:net';
@@ -27,10 +27,10 @@
 import {createRandom} from '../../src/random/random.js';
 import type {Timers} from '../../src/time/timers.js';
 
-/** Claims with the processes that hold them. */
+/** Claims with the parts that store them. */
 export interface Placement {
   readonly claims: Claims;
-  /** Claims held by each place, to check that the work was done. */
+  /** Number of claims in each store, to check that no work was skipped. */
   sizes(): number[];
   stop(): Promise<void>;
 }
@@ -41,7 +41,7 @@
 const log = createSilentLog();
 const packr = new Packr({useRecords: false});
 
-/** (a) In the gate's own memory. */
+/** Stores claims in the memory of the gate. */
 export function createGatePlacement(timers: Timers): Placement {
   const table = createClaimTable(timers, limits);
   let last = 0;
@@ -53,7 +53,7 @@
   return {claims, sizes: () => [table.size], stop: async () => {}};
 }
 
-/** (b) With three keepers, two of which must vote. */
+/** Stores claims with three keepers, two of which must grant a claim. */
 export async function createKeeperPlacement(
   timers: Timers,
   network: Network,
@@ -91,7 +91,7 @@
   };
 }
 
-/** (c) In the replicated log of three control processes with disks. */
+/** Stores claims in the replicated log of three control processes with disks. */
 export async function createLogPlacement(
   timers: Timers,
   network: Network,
@@ -129,12 +129,12 @@
     serveProposals(link, leader),
   );
   const link = await network.connect(address);
-  const ask = createProposer(link);
+  const propose = createProposer(link);
   let last = 0;
   const claims = createTableClaims(
     () => `gate/${++last}`,
-    acquire => ask(acquire) as Promise<Vote>,
-    settle => void ask(settle),
+    acquire => propose(acquire) as Promise<Vote>,
+    settle => void propose(settle),
   );
   return {
     claims,
@@ -148,7 +148,7 @@
   };
 }
 
-/** Claims on whatever votes once for all. */
+/** Creates claims for a store that decides with a single vote. */
 function createTableClaims(
   nextClaim: () => string,
   vote: (acquire: Acquire) => Promise<Vote>,
@@ -159,13 +159,13 @@
       const {key, fingerprint} = request;
       const claim = nextClaim();
       const work = {service, key, fingerprint, claim};
-      const given = await vote({
+      const result = await vote({
         kind: 'acquire',
         epoch: 1,
         lease: 10_000,
         ...work,
       });
-      if (given.kind !== 'granted') {
+      if (result.kind !== 'granted') {
         const code = claimCodes.outcomeUnknown;
         return {kind: 'refused', code, message: code.meaning, retryAfter: 1};
       }
@@ -214,16 +214,16 @@
 }
 
 function createProposer(link: Link): (entry: object) => Promise<unknown> {
-  const asked = new Map<number, (reply: unknown) => void>();
+  const pendingReplies = new Map<number, (reply: unknown) => void>();
   let last = 0;
   link.onMessage(message => {
     const {id, reply} = message as {id: number; reply: unknown};
-    asked.get(id)?.(reply);
-    asked.delete(id);
+    pendingReplies.get(id)?.(reply);
+    pendingReplies.delete(id);
   });
   return entry =>
     new Promise(resolve => {
-      asked.set(++last, resolve);
+      pendingReplies.set(++last, resolve);
       link.send({id: last, entry});
     });
 }
@@ -239,7 +239,7 @@
   }
 }
 
-/** An address on loopback that was free a moment ago. */
+/** Returns a loopback address whose port was free when it was checked. */
 async function freeAddress(): Promise<string> {
   const server = createServer();
   await new Promise<void>(done => server.listen(0, '127.0.0.1', done));
--- a/bench/consensus/host.ts
+++ b/bench/consensus/host.ts
@@ -17,7 +17,7 @@
 } from './messages.js';
 import {createRegister, encodeChange} from './register.js';
 
-/** One member of a control group in a process of its own, for bench and tests. */
+/** Runs one member of a control group as a separate process, for bench and tests. */
 
 const options = JSON.parse(process.argv[2]!) as HostOptions;
 const register = createRegister();
@@ -45,17 +45,17 @@
   let accepted = 0;
   const start = performance.now();
 
-  async function work(): Promise<void> {
+  async function proposeRepeatedly(): Promise<void> {
     while (next < count) {
       const name = `name-${next++ % names}`;
-      const from = performance.now();
+      const startedAt = performance.now();
       const result = await consensus.propose(encodeChange(name, text));
-      histogram.recordValue((performance.now() - from) * 1000);
+      histogram.recordValue((performance.now() - startedAt) * 1000);
       if (result.ok) accepted++;
     }
   }
 
-  await Promise.all(Array.from({length: concurrency}, work));
+  await Promise.all(Array.from({length: concurrency}, proposeRepeatedly));
   return {
     accepted,
     duration: performance.now() - start,
@@ -64,7 +64,7 @@
   };
 }
 
-function view(): View {
+function createView(): View {
   const status = consensus.status();
   const {user, system} = process.cpuUsage();
   return {
@@ -82,7 +82,7 @@
 const fromResult = (result: Result<unknown>): Omit<Reply, 'id'> =>
   result.ok ? {value: result.value ?? null} : {code: result.code.number};
 
-async function answer(request: Request): Promise<Omit<Reply, 'id'>> {
+async function execute(request: Request): Promise<Omit<Reply, 'id'>> {
   switch (request.kind) {
     case 'propose': {
       const change = encodeChange(request.name, request.text);
@@ -96,7 +96,7 @@
     case 'get':
       return {value: register.get(request.name) ?? null};
     case 'view':
-      return {value: view()};
+      return {value: createView()};
     case 'stop':
       await consensus.stop();
       setImmediate(() => process.exit(0));
@@ -109,7 +109,7 @@
 }
 
 process.on('message', ({id, request}: {id: number; request: Request}) => {
-  void answer(request).then(reply => process.send!({id, ...reply}));
+  void execute(request).then(reply => process.send!({id, ...reply}));
 });
 process.on('disconnect', () => process.exit(0));
 process.send!({id: 0, value: 'started'});
--- a/bench/consensus/messages.ts
+++ b/bench/consensus/messages.ts
@@ -1,6 +1,6 @@
 import type {Member, Role} from '../../src/consensus/consensus.js';
 
-/** What a bench or test asks of a member's process, over the process channel. */
+/** Requests of a bench or test to a member's process over Node.js IPC. */
 export type Request =
   | {readonly kind: 'propose'; readonly name: string; readonly text: string}
   /** Proposes `count` changes, `concurrency` of them at a time. */
@@ -9,13 +9,13 @@
       readonly count: number;
       readonly concurrency: number;
       readonly bytes: number;
-      /** Names that the changes are spread over. */
+      /** Number of names that the changes are spread over. */
       readonly names: number;
     }
   | {readonly kind: 'read'}
   | {readonly kind: 'get'; readonly name: string}
   | {readonly kind: 'view'}
-  /** Ends the process in order. */
+  /** Stops the member in a planned way and exits. */
   | {readonly kind: 'stop'}
   | {
       readonly kind: 'replace';
@@ -23,25 +23,25 @@
       readonly joining: Member;
     };
 
-/** One answer; `value` is undefined for a failure. */
+/** The reply to a request; `value` is undefined for a failure. */
 export interface Reply {
   readonly id: number;
   readonly value?: unknown;
-  /** Number of a result code. */
+  /** Number of the failure's result code. */
   readonly code?: number;
 }
 
-/** What a load gave. */
+/** The result of a load. */
 export interface LoadReport {
   readonly accepted: number;
-  /** Milliseconds that the whole load took. */
+  /** Duration of the whole load in milliseconds. */
   readonly duration: number;
-  /** Milliseconds from the call to the answer. */
+  /** Milliseconds from the proposal to its result. */
   readonly p50: number;
   readonly p99: number;
 }
 
-/** A member's state and what it has spent since its start. */
+/** A member's state and the resources it has used since its start. */
 export interface View {
   readonly role: Role;
   readonly term: number;
@@ -53,15 +53,15 @@
   readonly digest: string;
   /** Milliseconds of processor time. */
   readonly processor: number;
-  /** Bytes of memory that are resident. */
+  /** Resident memory in bytes. */
   readonly memory: number;
   readonly bytesOut: number;
   readonly logBytes: number;
-  /** Milliseconds since the Unix epoch when the folder had been opened. */
+  /** Time at which the data folder had been opened, in ms since the Unix epoch. */
   readonly openedAt: number;
 }
 
-/** How a member's process is started; one JSON argument. */
+/** Options of a member's process, passed as one JSON argument. */
 export interface HostOptions {
   readonly self: Member;
   readonly members: readonly Member[];
--- a/bench/consensus/process-group.ts
+++ b/bench/consensus/process-group.ts
@@ -8,33 +8,34 @@
 import {reservePorts} from '../deployment/ports.js';
 import type {HostOptions, Reply, Request, View} from './messages.js';
 
-/** A control group of real processes on loopback, each with a real folder. */
+/** A control group of processes on loopback, each with a data folder on disk. */
 export interface ProcessGroup {
   readonly names: readonly string[];
   memberOf(name: string): Member;
   start(name: string): Promise<void>;
-  /** Ends a process with SIGKILL. */
+  /** Kills a process with SIGKILL. */
   kill(name: string): Promise<void>;
-  /** Ends a process in order. */
+  /** Stops a process in a planned way. */
   stopOne(name: string): Promise<void>;
   /** Sends SIGSTOP or SIGCONT. */
   signal(name: string, signal: 'SIGSTOP' | 'SIGCONT'): void;
   /** Removes a member's data folder. */
   wipe(name: string): Promise<void>;
   isUp(name: string): boolean;
+  /** Sends a request; a process that is not running gives an empty reply. */
   ask(name: string, request: Request): Promise<Reply>;
   view(name: string): Promise<View>;
-  /** The leader that a majority follows; waits for one. */
+  /** Waits for a leader that has committed entries; returns its name. */
   leader(): Promise<string>;
-  /** Waits until `done`, asking again each few milliseconds. */
+  /** Polls `done` every few milliseconds until it is true. */
   until(done: () => Promise<boolean>): Promise<void>;
   stop(): Promise<void>;
 }
 
-/** How a group of processes is made. */
+/** Options of createProcessGroup; times in milliseconds. */
 export interface ProcessGroupOptions {
   readonly size: number;
-  /** Members beyond the founders, which join later. */
+  /** Number of members that are not founders and may join later. */
   readonly spares?: number;
   readonly groupCommit?: boolean;
   readonly snapshotEntries?: number;
@@ -43,8 +44,9 @@
 }
 
 const host = new URL('./host.js', import.meta.url);
-const waitLimit = 30_000;
-const pollPeriod = 5;
+/** Milliseconds after which `until` fails. */
+const maxWait = 30_000;
+const pollInterval = 5;
 
 interface Child {
   readonly process: ChildProcess;
@@ -57,7 +59,7 @@
 ): Promise<ProcessGroup> {
   const {size, spares = 0} = options;
   const root = await mkdtemp(join(tmpdir(), 'foxbarrow-consensus-'));
-  const all = new Map<string, Member>();
+  const members = new Map<string, Member>();
   const children = new Map<string, Child>();
   const ports = await reservePorts();
   let nextId = 1;
@@ -65,14 +67,14 @@
   for (let at = 0; at < size + spares; at++) {
     const name = `control-${at + 1}`;
     const address = ports.nextAddress();
-    all.set(name, {name, address, failureDomain: `domain-${at + 1}`});
+    members.set(name, {name, address, failureDomain: `domain-${at + 1}`});
   }
-  const founders = [...all.values()].slice(0, size);
+  const founders = [...members.values()].slice(0, size);
   const folderOf = (name: string) => join(root, name);
 
   async function start(name: string): Promise<void> {
     const hostOptions: HostOptions = {
-      self: all.get(name)!,
+      self: members.get(name)!,
       members: founders,
       folder: folderOf(name),
       groupCommit: options.groupCommit ?? true,
@@ -91,7 +93,7 @@
       });
       child.once('exit', code => {
         if (children.get(name)?.process === child) children.delete(name);
-        // Before `settle`, which would call a start that failed a success.
+        // Must come before `settle`, which would resolve a start that failed.
         reject(new Error(`${name} ended with ${code}`));
         for (const settle of waiting.values()) settle({id: -1});
       });
@@ -133,11 +135,11 @@
   }
 
   async function until(done: () => Promise<boolean>): Promise<void> {
-    for (let waited = 0; waited < waitLimit; waited += pollPeriod) {
+    for (let waited = 0; waited < maxWait; waited += pollInterval) {
       if (await done()) return;
-      await delay(pollPeriod);
+      await delay(pollInterval);
     }
-    throw new Error('it did not come to pass');
+    throw new Error('the condition did not become true in time');
   }
 
   async function findLeader(): Promise<string | undefined> {
@@ -153,8 +155,8 @@
   }
 
   const group: ProcessGroup = {
-    names: [...all.keys()],
-    memberOf: name => all.get(name)!,
+    names: [...members.keys()],
+    memberOf: name => members.get(name)!,
     start,
     kill,
     stopOne,
--- a/bench/consensus/processes.test.ts
+++ b/bench/consensus/processes.test.ts
@@ -2,14 +2,14 @@
 import {createProcessGroup} from './process-group.js';
 import type {ProcessGroup} from './process-group.js';
 
-// Real processes with real folders on loopback; faults by signals to processes
-// that the test started itself. No assertion depends on elapsed time.
+// The members are processes on loopback with data folders on disk. The tests
+// send signals to simulate faults. No assertion depends on elapsed time.
 
-// Long, so that a busy machine does not bring an election of its own.
+// Milliseconds; long enough that a busy machine causes no additional election.
 const electionTimeout = 2000;
 const changes = 60;
 
-/** Sends a change to whoever leads until it is accepted; returns the leader. */
+/** Proposes a change to the leader until it is accepted; returns the leader. */
 async function accept(group: ProcessGroup, text: string): Promise<string> {
   let leader = '';
   await group.until(async () => {
@@ -26,14 +26,15 @@
   return value === text;
 }
 
-const isCounted = (group: ProcessGroup, name: string) => async () => {
+const isVoter = (group: ProcessGroup, name: string) => async () => {
   const {role, voters, learners} = await group.view(name);
   return role !== 'learner' && voters.length === 3 && learners.length === 0;
 };
 
-test('kill -9 of the leader loses no accepted change, and a second VM may go right after the repair', async t => {
-  // The leader's VM dies with its disk and comes back empty. Once it counts
-  // again, another VM dies with its disk. Two are left, one of them repaired.
+test('kill -9 of the leader loses no accepted change, and a second VM may fail right after the repair', async t => {
+  // The leader's VM fails, loses its disk and restarts with an empty one. Once
+  // it is a voter again, a second VM fails with its disk. A majority remains, and
+  // it includes the repaired member, which must hold all accepted changes.
   const group = await createProcessGroup({
     size: 3,
     snapshotEntries: 25,
@@ -47,7 +48,7 @@
   const second = await accept(group, 'while away');
 
   await group.start(first);
-  await group.until(isCounted(group, first));
+  await group.until(isVoter(group, first));
   await group.kill(second);
   await group.wipe(second);
 
@@ -73,9 +74,10 @@
   }
 });
 
-test('a frozen leader accepts nothing, serves nothing old and follows when it goes on', async t => {
-  // SIGSTOP while it leads, with a change and a read on their way to it; the
-  // others go on without it; then SIGCONT.
+test('a suspended leader accepts no change, serves no stale read and follows once it resumes', async t => {
+  // The leader is suspended with SIGSTOP while a change and a read are on their
+  // way to it. The other members elect a new leader. After SIGCONT the old leader
+  // must neither accept the change nor answer the read with stale state.
   const group = await createProcessGroup({size: 3, electionTimeout});
   t.teardown(() => group.stop());
   const old = await accept(group, 'before');
--- a/bench/consensus/register.ts
+++ b/bench/consensus/register.ts
@@ -1,11 +1,11 @@
 import {createHash} from 'node:crypto';
 import {StateMachine} from '../../src/consensus/consensus.js';
 
-/** A replicated map of names to texts, about as large as a configuration. */
+/** A replicated map of names to texts, which stands in for a configuration. */
 export interface Register extends StateMachine {
   readonly size: number;
   get(name: string): string | undefined;
-  /** Hash over the whole state. */
+  /** Hash of the complete state. */
   digest(): string;
 }
 
--- a/bench/demo/agency.ts
+++ b/bench/demo/agency.ts
@@ -1,9 +1,9 @@
-/** What schedulers, training centres and ramp supervisors do. */
+/** Demo of the agency deployment: schedulers, training centres and ramp supervisors. */
 import type {Deployment} from '../deployment/deployment.js';
 import type {Checks} from './checks.js';
 import {tryLookups, tryOnce, tryUpload} from './shared-checks.js';
 
-/** Runs lookups, gate checks, an issuance with its resend and an upload. */
+/** Checks lookups, gate checks, the issuance of a certificate, and an upload. */
 export async function tryAgency(
   deployment: Deployment,
   checks: Checks,
--- a/bench/demo/bad-input.ts
+++ b/bench/demo/bad-input.ts
@@ -1,12 +1,13 @@
-/** Bad input: each gets its numbered code and stops no process. */
+/** Checks that bad input is refused with a numbered code and stops no process. */
 import type {Deployment} from '../deployment/deployment.js';
 import {until} from '../deployment/until.js';
 import {call, sendRaw} from './calls.js';
 import type {Checks} from './checks.js';
 
-const tooLarge = 300 * 1024;
+/** Larger than the body limits in the examples. */
+const oversizedBytes = 300 * 1024;
 
-/** Sends what is wrong in turn, then checks that all goes on. */
+/** Sends several kinds of bad input, then checks that the deployment still works. */
 export async function tryBadInput(
   deployment: Deployment,
   checks: Checks,
@@ -19,7 +20,7 @@
   const large = await call(entry, path, {
     method: 'POST',
     key: 'large',
-    body: Buffer.alloc(tooLarge),
+    body: Buffer.alloc(oversizedBytes),
   });
   expectCode(checks, 'a body over the limit', large.code, 5017);
 
@@ -32,36 +33,36 @@
 
   const malformed = await deployment.operate('put', 'rout', 'x');
   checks.check(
-    'a malformed command exits 2 and points at the word',
+    'a malformed command exits with 2 and marks the unknown word',
     malformed.code === 2 && malformed.errors.includes('^'),
     `${malformed.code} ${malformed.errors}`,
   );
   await tryDeadUpstream(deployment, checks);
 }
 
-/** The service's only other instances are drained, so the dead one is chosen. */
+/** Kills all upstreams of one service; its calls must fail as not run. */
 async function tryDeadUpstream(
   deployment: Deployment,
   checks: Checks,
 ): Promise<void> {
   const service = isQurm(deployment) ? 'parts-files' : 'drillvault';
   const path = isQurm(deployment) ? '/files/x' : '/gate-checks/x';
-  const places = deployment.instances.filter(one => one.service === service);
-  for (const place of places) place.upstream.signal('SIGKILL');
-  await Promise.all(places.map(({upstream}) => upstream.ended()));
+  const killed = deployment.instances.filter(one => one.service === service);
+  for (const instance of killed) instance.upstream.signal('SIGKILL');
+  await Promise.all(killed.map(({upstream}) => upstream.ended()));
   const entry = deployment.instances[0]!.settings.callerAddress;
   const reply = await call(entry, path);
   checks.check(
-    'dead upstreams give a numbered refusal that says not-run',
+    'calls to killed upstreams are refused with a code and the effect not-run',
     reply.effect === 'not-run' && [5003, 5008].includes(reply.code),
     `${reply.code} ${reply.effect}`,
   );
-  const alive = isQurm(deployment) ? '/stock/x' : '/records/x';
-  await until('the other service goes on', 10_000, async () => {
-    const next = await call(entry, alive);
+  const pathOfOtherService = isQurm(deployment) ? '/stock/x' : '/records/x';
+  await until('the other service still answers', 10_000, async () => {
+    const next = await call(entry, pathOfOtherService);
     return next.status === 200;
   });
-  checks.check('the other service goes on', true);
+  checks.check('the other service still answers', true);
 }
 
 function isQurm(deployment: Deployment): boolean {
--- a/bench/demo/calls.ts
+++ b/bench/demo/calls.ts
@@ -1,30 +1,31 @@
-/** Calls of the demo, as callers of either deployment make them. */
+/** HTTP calls of the demo. */
 import {createHash} from 'node:crypto';
 import {connect} from 'node:net';
 import {request} from 'undici';
 import {parseAddress} from '../../src/link/address.js';
 
-/** One answer, read whole. */
+/** An answer with its complete body. */
 export interface Reply {
   readonly status: number;
   readonly code: number;
   readonly effect: string;
   readonly body: Buffer;
-  /** Whether the body is what the upstream said that it sent. */
+  /** Whether the body matches the digest that the upstream sent. */
   readonly isWhole: boolean;
-  /** The answer's own word on whose request it answers. */
+  /** Tag of the request that the answer belongs to, as given in its header. */
   readonly tag: string;
 }
 
-/** What one call sends. */
+/** Options of a call. */
 export interface CallOptions {
   readonly method?: 'GET' | 'POST' | 'PUT';
   readonly tag?: string;
+  /** Idempotency key. */
   readonly key?: string;
   readonly body?: Buffer;
 }
 
-/** Makes one call. */
+/** Sends a call and reads the complete answer. */
 export async function call(
   address: string,
   path: string,
@@ -50,12 +51,12 @@
   };
 }
 
-/** The SHA-256 digest in hex. */
+/** Returns the SHA-256 digest in hex. */
 export function sha256(bytes: Buffer): string {
   return createHash('sha256').update(bytes).digest('hex');
 }
 
-/** Sends raw bytes and gives the first line and code of what comes back. */
+/** Sends raw text and returns everything received until the connection closes. */
 export function sendRaw(address: string, text: string): Promise<string> {
   const {host, port} = parseAddress(address);
   return new Promise((resolve, reject) => {
--- a/bench/demo/checks.ts
+++ b/bench/demo/checks.ts
@@ -1,14 +1,14 @@
 import process from 'node:process';
 
-/** Counts what was asked and what came out right. */
+/** Prints the checks of the demo and counts their results. */
 export interface Checks {
-  /** Prints one line; `detail` tells what came instead when it is wrong. */
+  /** Prints one line; `detail` describes the actual result if it is wrong. */
   check(what: string, isRight: boolean, detail?: string): void;
   readonly failed: number;
   readonly passed: number;
 }
 
-/** Creates the tally of a demo. */
+/** Creates checks with all counts at zero. */
 export function createChecks(): Checks {
   let passed = 0;
   let failed = 0;
@@ -17,8 +17,8 @@
       if (isRight) passed++;
       else failed++;
       const mark = isRight ? 'right' : 'WRONG';
-      const more = isRight || detail === '' ? '' : ` (${detail})`;
-      process.stdout.write(`  ${mark}  ${what}${more}\n`);
+      const suffix = isRight || detail === '' ? '' : ` (${detail})`;
+      process.stdout.write(`  ${mark}  ${what}${suffix}\n`);
     },
     get failed() {
       return failed;
--- a/bench/demo/main.ts
+++ b/bench/demo/main.ts
@@ -1,6 +1,6 @@
 /**
- * The demo: both example deployments, one after the other, as processes on
- * loopback. Exits 0 only if every answer was right.
+ * Demo of both example deployments, one after the other, as processes on
+ * loopback. Exits with 0 only if all checks passed.
  */
 import process from 'node:process';
 import {startDeployment} from '../deployment/deployment.js';
@@ -12,34 +12,38 @@
 import {tryBadInput} from './bad-input.js';
 import {tryQurm} from './qurm.js';
 
-/** Milliseconds that a piece of the stand-ins' work takes. */
+/** Duration of a piece of the upstreams' work, in milliseconds. */
 const work = 5;
 
 const checks = createChecks();
-await show('qurm', checks, tryQurm);
-await show('agency', checks, tryAgency);
+await runDemo('qurm', checks, tryQurm);
+await runDemo('agency', checks, tryAgency);
 print(`${checks.passed} right, ${checks.failed} wrong`);
 process.exitCode = checks.failed === 0 ? 0 : 1;
 
-type Course = (deployment: Deployment, checks: Checks) => Promise<void>;
+type DemoChecks = (deployment: Deployment, checks: Checks) => Promise<void>;
 
-async function show(
+async function runDemo(
   name: string,
   checks: Checks,
-  course: Course,
+  runChecks: DemoChecks,
 ): Promise<void> {
-  print(`\n${name}: starting control processes, nodes and stand-ins`);
+  print(`\n${name}: starting control processes, nodes and upstreams`);
   const folder = `examples/${name}`;
   const deployment = await startDeployment({folder, work});
   try {
     await setUp(deployment, `${folder}/setup.fox`);
-    checks.check('the set-up is in force everywhere', true);
-    await course(deployment, checks);
+    checks.check('the configuration is in force at all nodes', true);
+    await runChecks(deployment, checks);
     await tryBadInput(deployment, checks);
-    const places = await deployment.operate('show', 'in', 'force');
-    print(places.output);
+    const inForce = await deployment.operate('show', 'in', 'force');
+    print(inForce.output);
   } catch (error) {
-    checks.check(`${name} ran to its end`, false, (error as Error).message);
+    checks.check(
+      `the demo of ${name} completed`,
+      false,
+      (error as Error).message,
+    );
   }
   const failed = await deployment.stop();
   checks.check(
--- a/bench/demo/qurm.ts
+++ b/bench/demo/qurm.ts
@@ -1,9 +1,9 @@
-/** What storekeepers and fitters do. */
+/** Demo of the qurm deployment: storekeepers and fitters. */
 import type {Deployment} from '../deployment/deployment.js';
 import type {Checks} from './checks.js';
 import {tryLookups, tryOnce, tryUpload} from './shared-checks.js';
 
-/** Runs lookups, a booking with its resend, catalogue pulls and an upload. */
+/** Checks stock and catalogue lookups, a booking, and an upload. */
 export async function tryQurm(
   deployment: Deployment,
   checks: Checks,
--- a/bench/demo/shared-checks.ts
+++ b/bench/demo/shared-checks.ts
@@ -1,4 +1,4 @@
-/** Courses that both deployments share. */
+/** Checks that the demos of both deployments share. */
 import {request} from 'undici';
 import type {Deployment} from '../deployment/deployment.js';
 import {call, sha256} from './calls.js';
@@ -6,7 +6,7 @@
 
 const uploadBytes = 8 * 1024 * 1024;
 
-/** One lookup through each node; each must be whole and its caller's own. */
+/** Sends a lookup through each node; each answer must be complete and its own. */
 export async function tryLookups(
   deployment: Deployment,
   checks: Checks,
@@ -22,26 +22,29 @@
       }));
     }),
   );
-  const right = replies.filter(
+  const correct = replies.filter(
     ({reply, tag}) =>
       reply.status === 200 && reply.isWhole && reply.tag === tag,
   );
   const codes = replies.map(({reply}) => reply.code || reply.status).join(' ');
   checks.check(
-    `${what} through ${replies.length} nodes are whole and their own`,
-    right.length === replies.length,
+    `${what} through ${replies.length} nodes get complete answers of their own`,
+    correct.length === replies.length,
     codes,
   );
 }
 
-/** Work that must run once. */
+/** Work that must run exactly once. */
 export interface Once {
   readonly what: string;
   readonly service: string;
   readonly path: string;
 }
 
-/** Sends it, then sends it again with its key through another entry. */
+/**
+ * Sends the work, then sends it again with the same key through another entry.
+ * It must run once, and the key must be refused for a different body.
+ */
 export async function tryOnce(
   deployment: Deployment,
   checks: Checks,
@@ -95,7 +98,7 @@
   return runs;
 }
 
-/** Uploads a file; the digest that the upstream found must be the file's. */
+/** Uploads a file and compares the digest that the upstream computed. */
 export async function tryUpload(
   deployment: Deployment,
   checks: Checks,
@@ -104,10 +107,10 @@
   const body = Buffer.alloc(uploadBytes, 'scan');
   const entry = deployment.instances[0]!.settings.callerAddress;
   const reply = await call(entry, path, {method: 'PUT', tag: 'up', body});
-  const found = reply.status === 200 ? receivedDigest(reply.body) : '';
+  const digest = reply.status === 200 ? receivedDigest(reply.body) : '';
   checks.check(
     `an upload of ${uploadBytes} bytes is stored whole`,
-    reply.isWhole && found === sha256(body),
+    reply.isWhole && digest === sha256(body),
     `${reply.status} ${reply.code}`,
   );
 }
--- a/bench/distribution/codec-server.ts
+++ b/bench/distribution/codec-server.ts
@@ -14,14 +14,17 @@
 import {emptyConfiguration} from '../../src/configuration/configuration.js';
 
 /**
- * Sends the same pushes over one of three codecs and takes their
- * acknowledgements, for the comparison of codecs.
+ * Server of the codec comparison: sends the same pushes with one of three codecs
+ * and receives the acknowledgements.
  */
 
-/** How messages travel. */
+/**
+ * How messages are encoded: over tRPC, or as MessagePack with the keys in each
+ * message (`maps`) or once per link (`records`).
+ */
 export type CodecMode = 'trpc' | 'maps' | 'records';
 
-/** What the bench wants. */
+/** Parameters of a run, passed as JSON on the command line. */
 export interface CodecSetup {
   readonly mode: CodecMode;
   readonly clients: number;
@@ -30,7 +33,7 @@
   readonly gap: number;
 }
 
-/** What it cost here. */
+/** Cost of a run in this process; processor time in milliseconds. */
 export interface CodecCost {
   readonly processor: number;
   readonly bytesIn: number;
@@ -42,7 +45,7 @@
 const digest = 'x'.repeat(22);
 let acknowledged = 0;
 
-/** A section of ordinary size: a service with two routes. */
+/** Creates a section of typical size: a service with two routes. */
 function makeSection(version: number): Section {
   const service = {name: 'service-1', slowStart: version};
   const routes = ['a', 'b'].map(name => ({
@@ -71,7 +74,10 @@
   return sections.get('service-1')!;
 }
 
-/** One push in eight carries a section, as with 12 of 100 services. */
+/**
+ * Sends all pushes. One push in eight carries a section, as for a node that
+ * subscribes to 12 of 100 services.
+ */
 async function pushAll(send: (push: unknown) => void, isPacked: boolean) {
   for (let version = 2; version < setup.pushes + 2; version++) {
     const base = version - 1;
@@ -88,13 +94,13 @@
   while (acknowledged < setup.clients * setup.pushes) await sleep(5);
 }
 
-function report(bytes: {bytesIn: number; bytesOut: number}, start: number) {
+function sendCost(bytes: {bytesIn: number; bytesOut: number}, start: number) {
   const {user, system} = process.cpuUsage();
   const processor = (user + system) / 1000 - start;
   process.send?.({...bytes, processor, acknowledged});
 }
 
-function spent(): number {
+function processorTime(): number {
   const {user, system} = process.cpuUsage();
   return (user + system) / 1000;
 }
@@ -102,25 +108,25 @@
 async function serveLinks(sharesKeys: boolean): Promise<void> {
   const links: Link[] = [];
   const channels: Channel[] = [];
-  let ready = () => {};
-  const complete = new Promise<void>(done => (ready = done));
+  let markComplete = () => {};
+  const complete = new Promise<void>(done => (markComplete = done));
   const network = createTcpNetwork({sharesKeys});
   const listener = await network.listen('127.0.0.1:0', link => {
     links.push(link);
     const opened = createChannels(link);
     channels.push(opened.on('configuration'));
     opened.on('fleet').onMessage(() => acknowledged++);
-    if (links.length === setup.clients) ready();
+    if (links.length === setup.clients) markComplete();
   });
   process.send?.(listener.address);
   await complete;
-  const start = spent();
+  const start = processorTime();
   await pushAll(push => {
     for (const channel of channels) channel.send(push);
   }, true);
   const sum = (pick: (link: Link) => number) =>
     links.reduce((total, link) => total + pick(link), 0);
-  report(
+  sendCost(
     {
       bytesIn: sum(link => link.bytesIn),
       bytesOut: sum(link => link.bytesOut),
@@ -134,15 +140,15 @@
 
 async function* subscribe(signal: AbortSignal | undefined) {
   const queue: unknown[] = [];
-  let wake = () => {};
+  let wakeUp = () => {};
   const listen = (push: unknown) => {
     queue.push(push);
-    wake();
+    wakeUp();
   };
   listeners.add(listen);
   while (signal?.aborted !== true) {
     while (queue.length > 0) yield queue.shift();
-    await new Promise<void>(done => (wake = done));
+    await new Promise<void>(done => (wakeUp = done));
   }
 }
 
@@ -153,7 +159,7 @@
     .mutation(() => void acknowledged++),
 });
 
-/** The router, for typed clients. */
+/** Type of the router, for clients. */
 export type CodecRouter = typeof router;
 
 async function serveTrpc(): Promise<void> {
@@ -165,13 +171,13 @@
   const {port} = server.address() as AddressInfo;
   process.send?.(`127.0.0.1:${port}`);
   while (listeners.size < setup.clients) await sleep(5);
-  const start = spent();
-  const before = countSockets(sockets);
+  const start = processorTime();
+  const before = sumSocketBytes(sockets);
   await pushAll(push => {
     for (const listen of listeners) listen(push);
   }, false);
-  const after = countSockets(sockets);
-  report(
+  const after = sumSocketBytes(sockets);
+  sendCost(
     {
       bytesIn: after.bytesIn - before.bytesIn,
       bytesOut: after.bytesOut - before.bytesOut,
@@ -180,7 +186,7 @@
   );
 }
 
-function countSockets(sockets: readonly Socket[]) {
+function sumSocketBytes(sockets: readonly Socket[]) {
   let bytesIn = 0;
   let bytesOut = 0;
   for (const socket of sockets) {
--- a/bench/distribution/harness.ts
+++ b/bench/distribution/harness.ts
@@ -12,13 +12,15 @@
   Usage,
 } from './messages.js';
 
-/** One stand-in process. */
+/** A stand-in process that the bench started. */
 export interface StandInProcess {
   readonly address: string;
+  /** Sends a command and resolves with its reply. */
   ask<K extends Command['kind']>(
-    ask: Extract<Command, {kind: K}>,
+    command: Extract<Command, {kind: K}>,
   ): Promise<Extract<Reply, {kind: K}>>;
   usage(): Promise<Usage>;
+  /** Bytes of heap and of buffers outside it, after a garbage collection. */
   memory(): Promise<number>;
   stop(): Promise<void>;
 }
@@ -33,17 +35,17 @@
   seed: 1,
 } as const;
 
-/** Starts a source, or a relay when it is given sources. */
+/** Starts a source, or a relay if the setup names sources. */
 export function startHome(setup: Partial<HomeSetup>): Promise<StandInProcess> {
   return start('home-process.js', {name: 'home', ...homeDefaults, ...setup});
 }
 
-/** Starts a process of stand-in nodes. */
+/** Starts a process with stand-in nodes. */
 export function startNodes(setup: NodesSetup): Promise<StandInProcess> {
   return start('node-process.js', setup);
 }
 
-/** Starts a process of nodes that drop the states they get. */
+/** Starts a process with nodes that discard the configuration they receive. */
 export function startHerd(setup: NodesSetup): Promise<StandInProcess> {
   return start('herd-process.js', setup);
 }
@@ -54,28 +56,28 @@
     execArgv: ['--expose-gc'],
     serialization: 'advanced',
   });
-  const ready = (await nextTold(child)) as Extract<Reply, {kind: 'ready'}>;
-  let last: Promise<unknown> = Promise.resolve();
+  const ready = (await nextReply(child)) as Extract<Reply, {kind: 'ready'}>;
+  let lastReply: Promise<unknown> = Promise.resolve();
 
-  async function exchange(ask: Command): Promise<Reply> {
-    const told = nextTold(child);
-    child.send(ask);
-    return told;
+  async function exchange(command: Command): Promise<Reply> {
+    const reply = nextReply(child);
+    child.send(command);
+    return reply;
   }
 
-  const one: StandInProcess = {
+  const standIn: StandInProcess = {
     address: ready.address,
-    ask(ask) {
-      const answer = last.then(() => exchange(ask));
-      last = answer.catch(() => {});
+    ask(command) {
+      const answer = lastReply.then(() => exchange(command));
+      lastReply = answer.catch(() => {});
       return answer as Promise<never>;
     },
     async usage() {
-      const {usage} = await one.ask({kind: 'usage'});
+      const {usage} = await standIn.ask({kind: 'usage'});
       return usage;
     },
     async memory() {
-      const {memory} = await one.ask({kind: 'memory'});
+      const {memory} = await standIn.ask({kind: 'memory'});
       return memory;
     },
     stop() {
@@ -85,25 +87,28 @@
       });
     },
   };
-  return one;
+  return standIn;
 }
 
-function nextTold(child: ChildProcess): Promise<Reply> {
+function nextReply(child: ChildProcess): Promise<Reply> {
   return new Promise((resolve, reject) => {
-    const end = (code: number | null) => {
-      child.off('message', take);
+    const onExit = (code: number | null) => {
+      child.off('message', onMessage);
       reject(new Error(`a stand-in process ended with ${code}`));
     };
-    const take = (told: Reply) => {
-      child.off('exit', end);
-      resolve(told);
+    const onMessage = (reply: Reply) => {
+      child.off('exit', onExit);
+      resolve(reply);
     };
-    child.once('exit', end);
-    child.once('message', take);
+    child.once('exit', onExit);
+    child.once('message', onMessage);
   });
 }
 
-/** Waits until processes together have `nodes` nodes at `version` or newer. */
+/**
+ * Waits until the processes have `nodes` nodes in total and all are at `version`
+ * or a newer one. Resolves with false after `limit` milliseconds.
+ */
 export async function awaitSynced(
   processes: readonly StandInProcess[],
   nodes: number,
@@ -112,51 +117,54 @@
 ): Promise<boolean> {
   const end = Date.now() + limit;
   while (Date.now() < end) {
-    const told = await Promise.all(
+    const replies = await Promise.all(
       processes.map(one => one.ask({kind: 'synced'})),
     );
-    const synced = told.reduce((sum, one) => sum + one.nodes, 0);
-    if (synced >= nodes && told.every(one => one.least >= version)) return true;
+    const synced = replies.reduce((sum, one) => sum + one.nodes, 0);
+    if (synced >= nodes && replies.every(one => one.least >= version))
+      return true;
     await sleep(20);
   }
   return false;
 }
 
-/** Times from acceptance to force, in milliseconds. */
+/** Milliseconds from the acceptance of a change until it is in force. */
 export interface Convergence {
-  /** Of each node and change. */
+  /** Over all pairs of node and change. */
   readonly p50: number;
   readonly p99: number;
-  /** Of the last node of a change: its median and greatest. */
+  /** Of the last node of each change: median and maximum. */
   readonly lastP50: number;
   readonly lastMax: number;
-  /** Pairs of node and change that never came into force. */
+  /** Number of pairs of node and change that never came into force. */
   readonly missing: number;
 }
 
-/** Works out how long changes took; `switches` by process. */
+/** Computes the convergence times; `switches` holds a list per process. */
 export function findConvergence(
   changes: readonly AcceptedChange[],
   switches: ReadonlyArray<readonly Switch[]>,
   nodes: number,
 ): Convergence {
-  const all: number[] = [];
-  const lasts: number[] = [];
+  const allTimes: number[] = [];
+  const lastTimes: number[] = [];
   const perNode = switches.flatMap(groupByNode);
   for (const change of changes) {
-    const taken = perNode
-      .map(own => own.find(({version}) => version >= change.version))
+    const times = perNode
+      .map(nodeSwitches =>
+        nodeSwitches.find(({version}) => version >= change.version),
+      )
       .filter(one => one !== undefined)
       .map(one => one.at - change.at);
-    all.push(...taken);
-    lasts.push(Math.max(...taken));
+    allTimes.push(...times);
+    lastTimes.push(Math.max(...times));
   }
   return {
-    p50: quantile(all, 0.5),
-    p99: quantile(all, 0.99),
-    lastP50: quantile(lasts, 0.5),
-    lastMax: Math.max(...lasts),
-    missing: nodes * changes.length - all.length,
+    p50: quantile(allTimes, 0.5),
+    p99: quantile(allTimes, 0.99),
+    lastP50: quantile(lastTimes, 0.5),
+    lastMax: Math.max(...lastTimes),
+    missing: nodes * changes.length - allTimes.length,
   };
 }
 
@@ -170,27 +178,27 @@
   return [...groups.values()];
 }
 
-/** The value below which a share of the values lie. */
+/** The quantile of the values at `share`, a number from 0 to 1. */
 export function quantile(values: readonly number[], share: number): number {
   const sorted = [...values].sort((left, right) => left - right);
   const at = Math.ceil(share * sorted.length) - 1;
   return sorted[Math.max(0, at)] ?? NaN;
 }
 
-/** Slope and intercept by least squares. */
+/** Fits a line by least squares. */
 export function fitLine(points: ReadonlyArray<{x: number; y: number}>): {
   slope: number;
   intercept: number;
 } {
   const meanX = mean(points.map(point => point.x));
   const meanY = mean(points.map(point => point.y));
-  let over = 0;
-  let under = 0;
+  let numerator = 0;
+  let denominator = 0;
   for (const {x, y} of points) {
-    over += (x - meanX) * (y - meanY);
-    under += (x - meanX) ** 2;
+    numerator += (x - meanX) * (y - meanY);
+    denominator += (x - meanX) ** 2;
   }
-  const slope = over / under;
+  const slope = numerator / denominator;
   return {slope, intercept: meanY - slope * meanX};
 }
 
@@ -198,7 +206,7 @@
   return values.reduce((sum, value) => sum + value, 0) / values.length;
 }
 
-/** Stops processes; waits for all. */
+/** Stops processes and waits until all have exited. */
 export async function stopAll(
   processes: readonly StandInProcess[],
 ): Promise<void> {
--- a/bench/distribution/herd-process.ts
+++ b/bench/distribution/herd-process.ts
@@ -14,16 +14,17 @@
 } from './stand-in.js';
 
 /**
- * A process of nodes that return at once: each asks for its state, waits when
- * told to, pings, and drops what it gets, so that hundreds fit into it.
+ * A process with a herd of nodes that reconnect at the same time. Each node
+ * subscribes, retries later if the home postpones it, sends heartbeats, and
+ * discards the configuration it receives, so that one process can run hundreds.
  */
 
-const heartbeat = 1000;
+const heartbeatInterval = 1000;
 
 const setup = readSetup<NodesSetup>();
 const timers = createTimers();
 const counted = countBytes(createTcpNetwork());
-/** The version of each node that has one. */
+/** Latest version by node; nodes without a configuration are absent. */
 const versions = new Map<number, number>();
 
 async function join(node: number): Promise<void> {
@@ -47,7 +48,7 @@
   let number = 0;
   fleet.onMessage(() => {});
   fleet.send(hello);
-  timers.every(heartbeat, () => {
+  timers.every(heartbeatInterval, () => {
     fleet.send({kind: 'ping', number: ++number, version: versions.get(node)});
   });
   configuration.onMessage(body => {
@@ -59,8 +60,8 @@
   configuration.send(subscribe);
 }
 
-async function answer(ask: Command): Promise<Reply> {
-  switch (ask.kind) {
+async function execute(command: Command): Promise<Reply> {
+  switch (command.kind) {
     case 'usage':
       return {kind: 'usage', usage: readUsage(counted)};
     case 'synced': {
@@ -69,10 +70,10 @@
       return {kind: 'synced', nodes, least: nodes > 0 ? least : 0};
     }
     default:
-      throw new Error(`a herd does not know ${ask.kind}`);
+      throw new Error(`a herd does not support ${command.kind}`);
   }
 }
 
 for (let node = 0; node < setup.nodes; node++) void join(node);
-serveCommands(answer);
+serveCommands(execute);
 sendReply({kind: 'ready', address: ''});
--- a/bench/distribution/home-process.ts
+++ b/bench/distribution/home-process.ts
@@ -33,12 +33,12 @@
 } from './stand-in.js';
 
 /**
- * A distributor process of the bench: a source, whose configuration changes
- * when the bench says so, or a relay below sources. The control group's commit
- * is not part of it.
+ * A distributor process of the bench: a source whose configuration changes on
+ * the bench's commands, or a relay of sources. It does not include the commit in
+ * the control group.
  */
 
-type Upstream = Pick<DistributorOptions, 'source' | 'barrier' | 'asOf'>;
+type DistributorInput = Pick<DistributorOptions, 'source' | 'barrier' | 'asOf'>;
 
 const setup = readSetup<HomeSetup>();
 const timers = createTimers();
@@ -53,31 +53,31 @@
   region: 'astana',
 };
 const observers: Array<() => void> = [];
-let configuration = fill();
+let configuration = createConfiguration();
 
-/** A configuration of the size that was asked for. */
-function fill(): Configuration {
+/** Creates a configuration of the size given in the setup. */
+function createConfiguration(): Configuration {
   const services = new Map<string, Service>();
   const routes = new Map<string, Route>();
   for (let index = 0; index < setup.services; index++) {
     const service = `service-${index}`;
     services.set(service, {name: service, slowStart: 10_000});
-    for (let place = 0; place < setup.routesPerService; place++) {
-      const name = `${service}-route-${place}`;
+    for (let number = 0; number < setup.routesPerService; number++) {
+      const name = `${service}-route-${number}`;
       routes.set(name, {
         name,
-        prefix: `/${service}/${place}`,
+        prefix: `/${service}/${number}`,
         methods: ['GET', 'POST'],
         service,
         policy: 'lookups',
       });
     }
   }
-  const policies = new Map([['lookups', lookups()]]);
+  const policies = new Map([['lookups', createPolicy()]]);
   return {...emptyConfiguration, version: 1, services, routes, policies};
 }
 
-function lookups(): Policy {
+function createPolicy(): Policy {
   return {
     name: 'lookups',
     priority: 'normal',
@@ -89,8 +89,8 @@
   };
 }
 
-/** Changes one service chosen at random. */
-function change(): AcceptedChange {
+/** Changes one random service. */
+function changeService(): AcceptedChange {
   const version = configuration.version + 1;
   const name = `service-${random.integer(setup.services)}`;
   const services = new Map(configuration.services);
@@ -101,18 +101,18 @@
   return {version, at};
 }
 
-async function changeOften(count: number, gap: number): Promise<Reply> {
+async function changeRepeatedly(count: number, gap: number): Promise<Reply> {
   const changes: AcceptedChange[] = [];
   const start = wallTime();
   for (let index = 0; index < count; index++) {
     const wait = start + index * gap - wallTime();
     if (wait > 0) await sleep(wait);
-    changes.push(change());
+    changes.push(changeService());
   }
   return {kind: 'changes', changes};
 }
 
-function createSource(): Upstream {
+function createSource(): DistributorInput {
   const barrier = async () => {
     const {version} = configuration;
     await sleep(setup.round);
@@ -136,7 +136,7 @@
     log,
   });
   const subscriber = createSubscriber({home, timers, random, log});
-  const upstream: Upstream = {
+  const upstream: DistributorInput = {
     source: subscriber.sections,
     barrier: subscriber.barrier,
     asOf: home.asOf,
@@ -169,10 +169,10 @@
     fleet.accept(createChannels(link));
   });
 
-  async function answer(ask: Command): Promise<Reply> {
-    switch (ask.kind) {
+  async function execute(command: Command): Promise<Reply> {
+    switch (command.kind) {
       case 'changes':
-        return changeOften(ask.count, ask.gap);
+        return changeRepeatedly(command.count, command.gap);
       case 'usage': {
         const usage = readUsage(counted);
         const counts = distributor.counts();
@@ -189,11 +189,11 @@
         };
       }
       default:
-        throw new Error(`a home does not know ${ask.kind}`);
+        throw new Error(`a home does not support ${command.kind}`);
     }
   }
 
-  serveCommands(answer);
+  serveCommands(execute);
   sendReply({kind: 'ready', address: listener.address});
 }
 
--- a/bench/distribution/messages.ts
+++ b/bench/distribution/messages.ts
@@ -1,31 +1,31 @@
 import type {DistributorCounts} from '../../src/distribution/distributor.js';
 import type {HomeAddress} from '../../src/fleet/messages.js';
 
-/** Messages between the bench and its stand-in processes, over their IPC. */
+/** Messages between the bench and its stand-in processes over Node.js IPC. */
 
-/** How a stand-in source or relay is set up; times in milliseconds. */
+/** Setup of a stand-in source or relay; times in milliseconds. */
 export interface HomeSetup {
   readonly name: string;
   /** Addresses of sources; empty for a source. */
   readonly sources: readonly HomeAddress[];
-  /** Services in the configuration; for a source. */
+  /** Number of services in the configuration of a source. */
   readonly services: number;
   readonly routesPerService: number;
   readonly batchWindow: number;
   readonly isAdmitting: boolean;
   readonly syncBytesPerSecond?: number;
   readonly ringLength?: number;
-  /** What one quorum round takes; for a source. */
+  /** Simulated duration of a quorum round at a source. */
   readonly round: number;
   readonly seed: number;
 }
 
-/** How a process of stand-in nodes is set up. */
+/** Setup of a process with stand-in nodes. */
 export interface NodesSetup {
   readonly name: string;
   readonly homes: readonly HomeAddress[];
   readonly nodes: number;
-  /** Services that each node subscribes to, chosen at random; 0 for all. */
+  /** Number of random services that each node subscribes to; 0 for all. */
   readonly subscribed: number;
   readonly services: number;
   readonly seed: number;
@@ -38,26 +38,26 @@
   readonly at: number;
 }
 
-/** A node's switch to a version. */
+/** The switch of a node to a new version. */
 export interface Switch {
   readonly node: number;
   readonly version: number;
   readonly at: number;
 }
 
-/** What a process has used since it was started. */
+/** Resources that a process has used since its start. */
 export interface Usage {
   /** Milliseconds of processor time. */
   readonly processor: number;
-  /** Most bytes that the process ever had in memory. */
+  /** Peak resident memory in bytes. */
   readonly peak: number;
-  /** Bytes over all links, with framing. */
+  /** Bytes on all links, including framing. */
   readonly bytesIn: number;
   readonly bytesOut: number;
   readonly counts?: DistributorCounts;
 }
 
-/** What the bench asks of a stand-in process. */
+/** Commands to a stand-in process. */
 export type Command =
   | {readonly kind: 'changes'; readonly count: number; readonly gap: number}
   | {readonly kind: 'usage'}
@@ -67,12 +67,12 @@
   | {readonly kind: 'drop'}
   | {readonly kind: 'away'; readonly isAway: boolean};
 
-/** What a stand-in process answers; one answer for each ask. */
+/** Replies of a stand-in process: `ready` after its start, then one per command. */
 export type Reply =
   | {readonly kind: 'ready'; readonly address: string}
   | {readonly kind: 'changes'; readonly changes: readonly AcceptedChange[]}
   | {readonly kind: 'usage'; readonly usage: Usage}
-  /** Bytes of heap and of buffers outside it, after a collection. */
+  /** Bytes of heap and of buffers outside it, after a garbage collection. */
   | {readonly kind: 'memory'; readonly memory: number}
   | {readonly kind: 'synced'; readonly nodes: number; readonly least: number}
   | {readonly kind: 'switches'; readonly switches: readonly Switch[]}
--- a/bench/distribution/node-process.ts
+++ b/bench/distribution/node-process.ts
@@ -21,7 +21,7 @@
   wallTime,
 } from './stand-in.js';
 
-/** A process of many stand-in nodes, each with its own link and subscriber. */
+/** A process with many stand-in nodes, each with its own link and subscriber. */
 
 interface StandIn {
   readonly home: Home;
@@ -32,37 +32,38 @@
 const timers = createTimers();
 const random = createRandom(setup.seed);
 const log = createLog(setup.name, 'error');
-const counted = countBytes(createAwayNetwork(createTcpNetwork()));
+const counted = countBytes(createInterruptibleNetwork(createTcpNetwork()));
 let isAway = false;
 let switches: Switch[] = [];
 let standIns: StandIn[] = [];
 
-/** A network on which nothing can be reached while the nodes are away. */
-function createAwayNetwork(inner: Network): Network {
+/** Creates a network that refuses connections while `isAway` is set. */
+function createInterruptibleNetwork(inner: Network): Network {
   return new (class extends Network {
     listen(): Promise<Listener> {
       throw new Error('stand-in nodes accept no links');
     }
 
     connect(address: Address): Promise<Link> {
-      if (isAway) return Promise.reject(new Error('away'));
+      if (isAway)
+        return Promise.reject(new Error('the nodes are disconnected'));
       return inner.connect(address);
     }
   })();
 }
 
-/** All nodes lose their links, or may reach their homes again. */
+/** Disconnects all nodes, or allows them to reconnect. */
 function setAway(next: boolean): void {
   isAway = next;
   if (!next) return;
-  for (const {home} of standIns) home.leave('the bench sent it away');
+  for (const {home} of standIns) home.leave('disconnected by the bench');
 }
 
-function chooseServices(from: Random): readonly string[] | 'all' {
+function chooseServices(randomSource: Random): readonly string[] | 'all' {
   if (setup.subscribed === 0) return 'all';
   const names = new Set<string>();
   while (names.size < Math.min(setup.subscribed, setup.services)) {
-    names.add(`service-${from.integer(setup.services)}`);
+    names.add(`service-${randomSource.integer(setup.services)}`);
   }
   return [...names];
 }
@@ -91,9 +92,9 @@
 
 function countSynced(): Reply {
   const versions = standIns.map(one => one.subscriber.current()?.version);
-  const known = versions.filter(version => version !== undefined);
-  const least = known.length > 0 ? Math.min(...known) : 0;
-  return {kind: 'synced', nodes: known.length, least};
+  const knownVersions = versions.filter(version => version !== undefined);
+  const least = knownVersions.length > 0 ? Math.min(...knownVersions) : 0;
+  return {kind: 'synced', nodes: knownVersions.length, least};
 }
 
 function start(): void {
@@ -102,8 +103,8 @@
   }
 }
 
-/** All nodes of this process die and come back at once. */
-function drop(): void {
+/** Restarts all nodes of this process at the same time. */
+function restartAll(): void {
   for (const {home, subscriber} of standIns) {
     home.stop();
     subscriber.stop();
@@ -112,8 +113,8 @@
   start();
 }
 
-async function answer(ask: Command): Promise<Reply> {
-  switch (ask.kind) {
+async function execute(command: Command): Promise<Reply> {
+  switch (command.kind) {
     case 'usage':
       return {kind: 'usage', usage: readUsage(counted)};
     case 'memory':
@@ -121,21 +122,21 @@
     case 'synced':
       return countSynced();
     case 'switches': {
-      const told: Reply = {kind: 'switches', switches};
+      const reply: Reply = {kind: 'switches', switches};
       switches = [];
-      return told;
+      return reply;
     }
     case 'drop':
-      drop();
+      restartAll();
       return {kind: 'drop'};
     case 'away':
-      setAway(ask.isAway);
+      setAway(command.isAway);
       return {kind: 'away'};
     default:
-      throw new Error(`nodes do not know ${ask.kind}`);
+      throw new Error(`nodes do not support ${command.kind}`);
   }
 }
 
 start();
-serveCommands(answer);
+serveCommands(execute);
 sendReply({kind: 'ready', address: ''});
--- a/bench/distribution/stand-in.ts
+++ b/bench/distribution/stand-in.ts
@@ -4,42 +4,47 @@
 import type {Address, Listener, Link} from '../../src/link/link.js';
 import type {Command, Reply, Usage} from './messages.js';
 
-/** What the stand-in processes of the bench have in common. */
+/** Code that the stand-in processes of the bench share. */
 
-/** Milliseconds since the epoch, comparable between processes of one machine. */
+/**
+ * Milliseconds since the epoch with fractions; comparable between processes of
+ * one machine.
+ */
 export function wallTime(): number {
   return performance.timeOrigin + performance.now();
 }
 
-/** Reads the set-up that the bench gave on the command line. */
+/** Reads the setup that the bench passes on the command line. */
 export function readSetup<T>(): T {
   return JSON.parse(process.argv[2]!) as T;
 }
 
-/** Answers each ask of the bench in order; ends with the bench. */
-export function serveCommands(answer: (ask: Command) => Promise<Reply>): void {
+/** Executes the bench's commands in order; exits when the bench exits. */
+export function serveCommands(
+  execute: (command: Command) => Promise<Reply>,
+): void {
   let last = Promise.resolve();
-  process.on('message', (ask: Command) => {
-    last = last.then(async () => sendReply(await answer(ask)));
+  process.on('message', (command: Command) => {
+    last = last.then(async () => sendReply(await execute(command)));
   });
   process.on('disconnect', () => process.exit(0));
 }
 
-/** Tells the bench one thing. */
-export function sendReply(told: Reply): void {
-  process.send?.(told);
+/** Sends a reply to the bench. */
+export function sendReply(reply: Reply): void {
+  process.send?.(reply);
 }
 
-/** A network that counts the bytes of all links ever opened through it. */
+/** A network that counts the bytes of all its links, including closed ones. */
 export interface CountedNetwork {
   readonly network: Network;
   bytes(): {bytesIn: number; bytesOut: number};
 }
 
-/** Creates a counting view of a network. */
+/** Wraps a network so that its bytes are counted. */
 export function countBytes(inner: Network): CountedNetwork {
   const links: Link[] = [];
-  const note = (link: Link) => {
+  const track = (link: Link) => {
     links.push(link);
     return link;
   };
@@ -49,11 +54,11 @@
         address: Address,
         accept: (link: Link) => void,
       ): Promise<Listener> {
-        return inner.listen(address, link => accept(note(link)));
+        return inner.listen(address, link => accept(track(link)));
       }
 
       async connect(address: Address): Promise<Link> {
-        return note(await inner.connect(address));
+        return track(await inner.connect(address));
       }
     })(),
     bytes() {
@@ -68,14 +73,14 @@
   };
 }
 
-/** What this process has used. */
+/** Resources that this process has used since its start. */
 export function readUsage(counted: CountedNetwork): Usage {
   const {user, system} = process.cpuUsage();
   const peak = process.resourceUsage().maxRSS * 1024;
   return {processor: (user + system) / 1000, peak, ...counted.bytes()};
 }
 
-/** Bytes of heap and of buffers outside it, after a collection. */
+/** Bytes of heap and of buffers outside it, after a garbage collection. */
 export function readMemory(): Reply {
   global.gc?.();
   const {heapUsed, external} = process.memoryUsage();
--- a/bench/endpoints/crowd.ts
+++ b/bench/endpoints/crowd.ts
@@ -4,13 +4,14 @@
 import type {Crowd} from './messages.js';
 
 /**
- * Nodes without processes or sockets: sessions inside a home that announce
- * and renew. They fill the tables of the other homes to the size wanted.
+ * A crowd of simulated nodes: sessions inside a home, without processes or
+ * sockets, that announce instances and renew them. A crowd fills the tables of
+ * the other homes up to the size that an experiment needs.
  */
 
 /** A running crowd. */
 export interface CrowdNodes {
-  /** Restarts instances one after the other, evenly spread over the time. */
+  /** Restarts instances one by one, evenly spread over the duration. */
   churn(restarts: number, milliseconds: number): Promise<void>;
 }
 
@@ -20,10 +21,12 @@
   receive: (message: unknown) => void;
 }
 
-const renewal = 2000;
+/** Milliseconds between the renewals of an instance. */
+const renewalInterval = 2000;
+/** Renewals are spread over this many ticks of the interval. */
 const slices = 20;
 
-/** Creates a crowd and announces it. */
+/** Creates a crowd and announces its instances. */
 export function createCrowd(
   home: {accept(channels: Channels): void},
   timers: Timers,
@@ -58,7 +61,7 @@
     member.receive({kind: 'renew', instance, incarnation, sequence: 2});
   }
 
-  /** Down, up and warm: what a restart sends. */
+  /** Sends the announcements of a restart: gone, then warming, then serving. */
   function restart(member: Member): void {
     announce(member, 3, 'gone');
     member.incarnation++;
@@ -74,25 +77,26 @@
   }
 
   const first = crowd.first ?? 0;
-  for (let at = 0; at < crowd.instances; at++) join(first + at);
+  for (let offset = 0; offset < crowd.instances; offset++) join(first + offset);
   let slice = 0;
-  timers.every(renewal / slices, () => {
+  timers.every(renewalInterval / slices, () => {
     slice = (slice + 1) % slices;
-    for (let at = slice; at < members.length; at += slices) renew(members[at]!);
+    for (let offset = slice; offset < members.length; offset += slices)
+      renew(members[offset]!);
   });
 
   return {
     churn(restarts, milliseconds) {
-      const begun = timers.now();
-      let done = 0;
+      const startedAt = timers.now();
+      let restarted = 0;
       return new Promise(resolve => {
-        const ticking = timers.every(5, () => {
-          const share = Math.min(1, (timers.now() - begun) / milliseconds);
-          for (; done < Math.floor(restarts * share); done++) {
+        const subscription = timers.every(5, () => {
+          const share = Math.min(1, (timers.now() - startedAt) / milliseconds);
+          for (; restarted < Math.floor(restarts * share); restarted++) {
             restart(members[next++ % members.length]!);
           }
           if (share < 1) return;
-          ticking.cancel();
+          subscription.cancel();
           resolve();
         });
       });
@@ -100,7 +104,10 @@
   };
 }
 
-/** Channels whose other end is this process; what is sent there is dropped. */
+/**
+ * Creates channels without a remote end: messages sent on them are discarded,
+ * and `register` gets the function that delivers incoming messages.
+ */
 export function createLoopChannels<Message>(
   register: (receive: (message: Message) => void) => void,
 ): Channels {
--- a/bench/endpoints/deployment.ts
+++ b/bench/endpoints/deployment.ts
@@ -12,77 +12,81 @@
   Sample,
 } from './messages.js';
 
-/** Homes and a fleet of stand-in nodes, as processes. */
+/** Runs homes and a fleet of stand-in nodes as processes. */
 
-/** What all processes spent in some time. */
+/** Resources that the processes used during a measurement. */
 export interface ResourceUsage {
   readonly seconds: number;
-  /** Microseconds of processor time, all homes together. */
+  /** Processor time of all homes in microseconds. */
   readonly homeCpu: number;
-  /** The same of the fleet. */
+  /** Processor time of the fleet in microseconds. */
   readonly fleetCpu: number;
   /** Bytes between nodes and homes. */
   readonly nodeBytes: number;
-  /** Bytes between homes, as sent and as received. */
+  /** Bytes between homes; each byte counts at its sender and its receiver. */
   readonly peerBytes: number;
-  /** Of the first home alone: processor time, bytes to homes, memory. */
+  /** Usage of the first home; its memory is the current value. */
   readonly first: Sample;
 }
 
-/** What an event took. */
+/** How long an event took to reach the nodes. */
 export interface EventTimes {
+  /** Milliseconds until each node that calls the service knew of the event. */
   readonly times: readonly number[];
+  /** Number of nodes that did not learn of the event in time. */
   readonly missed: number;
 }
 
-/** Processes of one variant. */
+/** The running processes of one variant. */
 export interface Deployment {
-  /** Measures what is spent while `work` runs. */
+  /** Measures the resources used while `work` runs. */
   measureUsage(work: () => Promise<void>): Promise<ResourceUsage>;
+  /** Triggers an event and waits until the nodes know of it. */
   play(event: Event, share?: number): Promise<EventTimes>;
-  /** Restarts instances of the crowd, evenly spread over the time. */
+  /** Restarts instances of the crowd, evenly spread over the duration. */
   churn(restarts: number, milliseconds: number): Promise<void>;
   close(): void;
 }
 
-/** Size of a deployment. */
+/** Size and kind of a deployment. */
 export interface Size {
   readonly kind: HomeKind;
   readonly homes: number;
   readonly nodes: number;
   readonly services: number;
+  /** Number of services that each node calls. */
   readonly calls: number;
   readonly seed: number;
-  /** Homes that take nodes; the others have peers only. All by default. */
+  /** Number of homes that accept nodes; others only have peers. Default: all. */
   readonly nodeHomes?: number;
-  /** Instances that the last home makes up. */
+  /** Number of instances in the crowd of the last home. */
   readonly crowd?: number;
 }
 
-const module = (name: string) => new URL(name, import.meta.url);
+const moduleUrl = (name: string) => new URL(name, import.meta.url);
 
-async function next<T>(child: ChildProcess): Promise<T> {
+async function nextMessage<T>(child: ChildProcess): Promise<T> {
   const [message] = (await once(child, 'message')) as [T];
   return message;
 }
 
-/** Starts homes, links them, and starts the fleet. */
+/** Starts the homes, links them to each other, and starts the fleet. */
 export async function startDeployment(size: Size): Promise<Deployment> {
   const homes: ChildProcess[] = [];
   const nodeAddresses: string[] = [];
   const peerAddresses: string[] = [];
   for (let index = 0; index < size.homes; index++) {
-    const home = fork(module('home.js'), [`home-${index}`, size.kind]);
-    const ready = await next<HomeReport & {kind: 'ready'}>(home);
+    const home = fork(moduleUrl('home.js'), [`home-${index}`, size.kind]);
+    const ready = await nextMessage<HomeReport & {kind: 'ready'}>(home);
     const link: HomeCommand = {kind: 'link', peers: [...peerAddresses]};
     home.send(link);
     homes.push(home);
     nodeAddresses.push(ready.nodes);
     peerAddresses.push(ready.peers);
   }
-  const fleet = fork(module('fleet.js'), []);
-  const ask = (command: FleetCommand) => {
-    const answer = next<FleetReport>(fleet);
+  const fleet = fork(moduleUrl('fleet.js'), []);
+  const request = (command: FleetCommand) => {
+    const answer = nextMessage<FleetReport>(fleet);
     fleet.send(command);
     return answer;
   };
@@ -99,10 +103,10 @@
     };
     last.send(command);
   }
-  await ask({kind: 'start', plan});
+  await request({kind: 'start', plan});
 
   async function sample(child: ChildProcess): Promise<Sample> {
-    const answer = next<{kind: 'sample'; sample: Sample}>(child);
+    const answer = nextMessage<{kind: 'sample'; sample: Sample}>(child);
     child.send({kind: 'sample'});
     return (await answer).sample;
   }
@@ -131,11 +135,11 @@
       };
     },
     async play(event, share = 0) {
-      const answer = await ask({kind: 'play', event, share});
+      const answer = await request({kind: 'play', event, share});
       return answer as FleetReport & {kind: 'played'};
     },
     async churn(restarts, milliseconds) {
-      const answer = next(last);
+      const answer = nextMessage(last);
       const command: HomeCommand = {kind: 'churn', restarts, milliseconds};
       last.send(command);
       await answer;
--- a/bench/endpoints/fleet.ts
+++ b/bench/endpoints/fleet.ts
@@ -14,7 +14,10 @@
 import {createTimers} from '../../src/time/timers.js';
 import type {Event, FleetCommand, FleetPlan, FleetReport} from './messages.js';
 
-/** Stand-in nodes, each with a link of its own: real parts, one process. */
+/**
+ * Stand-in nodes in one process. Each has its own link and the real announcer,
+ * endpoint table and membership of a node.
+ */
 
 interface Node {
   readonly index: number;
@@ -26,22 +29,24 @@
   link: Link;
 }
 
-/** What the nodes that call a service are waited for to know. */
+/** A condition that each node calling a service waits for. */
 interface Wait {
   readonly service: string;
   readonly instance: string;
+  /** Whether the node's table shows the expected state of the instance. */
   readonly knows: (known: Announcement | undefined) => boolean;
 }
 
-const renewal = 2000;
-const longestWait = 20_000;
+const renewalInterval = 2000;
+/** Milliseconds after which waiting nodes count as missed. */
+const maxWait = 20_000;
 const timers = createTimers();
 const network = createTcpNetwork();
 const log = createSilentLog();
 const nodes: Node[] = [];
 const links: Link[] = [];
 let plan: FleetPlan;
-let turn = 0;
+let eventCount = 0;
 
 const report = (message: FleetReport) => process.send!(message);
 const serviceName = (index: number) => `service-${index}`;
@@ -77,7 +82,7 @@
     announcer,
     table,
     timers,
-    renewal,
+    renewal: renewalInterval,
     services,
   });
   const link = await network.connect(plan.homes[index % plan.homes.length]!);
@@ -96,15 +101,18 @@
       calls.add(serviceName(random.integer(plan.services)));
     }
     nodes.push(await startNode(index, [...calls]));
-    // Renewals of a fleet are spread, not in step.
-    await pause(renewal / plan.nodes);
+    // Spreads the renewals of the nodes evenly over the interval.
+    await pause(renewalInterval / plan.nodes);
   }
   report({kind: 'started'});
 }
 
-/** Waits until each node that calls the service knows; pushes the times. */
+/**
+ * Waits until the condition holds at each node that calls the service; appends
+ * their times. Returns the number of nodes where it did not hold in time.
+ */
 async function waitFor(wait: Wait, times: number[]): Promise<number> {
-  const begun = timers.now();
+  const startedAt = timers.now();
   const waiting = new Set(
     nodes.filter(
       node =>
@@ -112,14 +120,14 @@
         node.announcer.current()?.instance !== wait.instance,
     ),
   );
-  while (waiting.size > 0 && timers.now() - begun < longestWait) {
+  while (waiting.size > 0 && timers.now() - startedAt < maxWait) {
     for (const node of waiting) {
       const known = node.table
         .instances(wait.service)
         .find(one => one.instance === wait.instance);
       if (!wait.knows(known)) continue;
       waiting.delete(node);
-      times.push(timers.now() - begun);
+      times.push(timers.now() - startedAt);
     }
     await pause(1);
   }
@@ -172,8 +180,9 @@
     report({kind: 'played', times, missed});
     return;
   }
-  // Each event has another instance, so that none waits for the one before.
-  const node = nodes[(turn++ * 17) % nodes.length]!;
+  // Each event uses a different instance, so that it is independent of the
+  // previous event.
+  const node = nodes[(eventCount++ * 17) % nodes.length]!;
   let missed = 0;
   if (event === 'drain') {
     node.announcer.announce(describe(node, 'draining'));
--- a/bench/endpoints/messages.ts
+++ b/bench/endpoints/messages.ts
@@ -1,47 +1,47 @@
 import type {Address} from '../../src/link/link.js';
 
-/** Messages between the endpoints bench and the processes that it starts. */
+/** Messages between the endpoints bench and its processes over Node.js IPC. */
 
-/** How a home is built. */
+/** Which registry a home uses; `naive` is the baseline. */
 export type HomeKind = 'registry' | 'naive';
 
-/** Instances that a home of the bench makes up, without processes or links. */
+/** Instances that a home simulates without processes or links. */
 export interface Crowd {
   readonly instances: number;
   readonly services: number;
-  /** Number of the first instance; 0 by default. */
+  /** Index of the first instance; default: 0. */
   readonly first?: number;
 }
 
-/** What a process has spent since it started. */
+/** Resources that a process has used since its start. */
 export interface Sample {
   /** Microseconds of processor time. */
   readonly cpu: number;
-  /** Bytes over links to nodes, both ways. */
+  /** Bytes on links between nodes and homes, in both directions. */
   readonly nodeBytes: number;
-  /** Bytes over links to homes, both ways; of a home only. */
+  /** Bytes on links to other homes, in both directions; 0 for the fleet. */
   readonly peerBytes: number;
-  /** Bytes of resident memory. */
+  /** Resident memory in bytes. */
   readonly memory: number;
 }
 
-/** What happens to instances. */
+/** Events that happen to instances. */
 export type Event =
-  /** It says that it drains, then serves again. */
+  /** The instance announces that it drains, then that it serves again. */
   | 'drain'
-  /** Its process ends: the link closes without a word. */
+  /** The process ends: the link closes without an announcement. */
   | 'crash'
-  /** It goes silent; its link stays open. */
+  /** The process stops responding; its link stays open. */
   | 'hang'
-  /** A share of all instances restart at once. */
+  /** A share of all instances restarts at the same time. */
   | 'mass-restart';
 
 /** Commands to a home. */
 export type HomeCommand =
   | {readonly kind: 'link'; readonly peers: readonly Address[]}
-  /** Fills the home with a crowd. */
+  /** Creates a crowd in the home. */
   | {readonly kind: 'crowd'; readonly crowd: Crowd}
-  /** Restarts instances of the crowd, evenly spread over the time. */
+  /** Restarts instances of the crowd, evenly spread over the duration. */
   | {
       readonly kind: 'churn';
       readonly restarts: number;
@@ -49,18 +49,18 @@
     }
   | {readonly kind: 'sample'};
 
-/** Answers of a home. */
+/** Reports of a home. */
 export type HomeReport =
   | {readonly kind: 'ready'; readonly nodes: Address; readonly peers: Address}
   | {readonly kind: 'churned'}
   | {readonly kind: 'sample'; readonly sample: Sample};
 
-/** How a fleet of stand-in nodes is made. */
+/** Setup of the fleet of stand-in nodes. */
 export interface FleetPlan {
   readonly homes: readonly Address[];
   readonly nodes: number;
   readonly services: number;
-  /** Services that each node calls. */
+  /** Number of services that each node calls. */
   readonly calls: number;
   readonly seed: number;
 }
@@ -71,14 +71,14 @@
   | {readonly kind: 'sample'}
   | {readonly kind: 'play'; readonly event: Event; readonly share: number};
 
-/** Answers of the fleet. */
+/** Reports of the fleet. */
 export type FleetReport =
   | {readonly kind: 'started'}
   | {readonly kind: 'sample'; readonly sample: Sample}
   | {
       readonly kind: 'played';
-      /** Milliseconds until each of the nodes that call the service knew. */
+      /** Milliseconds until each node that calls the service knew of the event. */
       readonly times: readonly number[];
-      /** Nodes that did not know in time. */
+      /** Number of nodes that did not learn of the event in time. */
       readonly missed: number;
     };
--- a/bench/endpoints/naive-registry.ts
+++ b/bench/endpoints/naive-registry.ts
@@ -3,60 +3,61 @@
 import type {Announcement, NodeMessage} from '../../src/endpoints/messages.js';
 
 /**
- * The baseline: a home that forwards each renewal, with the whole announcement,
- * to all homes and all nodes, and lets each silent instance expire by itself.
+ * The baseline: a home that forwards each renewal, with the complete
+ * announcement, to all homes and all nodes. An instance without renewals expires
+ * at each home separately.
  */
 
-interface Held {
+interface Lease {
   announcement: Announcement;
-  until: number;
+  expiresAt: number;
 }
 
-/** A home without digests, subscriptions or batches. */
+/** A registry without digests, subscriptions or batching. */
 export interface NaiveRegistry {
   accept(channels: Channels): void;
   peer(channels: Channels): void;
 }
 
-const lease = 10_000;
+const leaseDuration = 10_000;
 
-/** Creates the baseline's home. */
+/** Creates the baseline registry. */
 export function createNaiveRegistry(timers: Timers): NaiveRegistry {
-  const held = new Map<string, Held>();
+  const leases = new Map<string, Lease>();
   const nodes = new Set<Channel>();
   const peers = new Set<Channel>();
 
-  function spread(announcement: Announcement): void {
+  function broadcast(announcement: Announcement): void {
     for (const node of nodes) {
       node.send({kind: 'delta', instances: [announcement]});
     }
   }
 
-  function keep(announcement: Announcement): void {
-    held.set(announcement.instance, {
+  function store(announcement: Announcement): void {
+    leases.set(announcement.instance, {
       announcement,
-      until: timers.now() + lease,
+      expiresAt: timers.now() + leaseDuration,
     });
-    spread(announcement);
+    broadcast(announcement);
   }
 
   function receive(message: NodeMessage): void {
-    if (message.kind === 'announce') takeOwn(message.announcement);
+    if (message.kind === 'announce') acceptFromNode(message.announcement);
     if (message.kind !== 'renew' || message.instance === undefined) return;
-    const known = held.get(message.instance);
-    if (known !== undefined) takeOwn(known.announcement);
+    const lease = leases.get(message.instance);
+    if (lease !== undefined) acceptFromNode(lease.announcement);
   }
 
-  function takeOwn(announcement: Announcement): void {
-    keep(announcement);
+  function acceptFromNode(announcement: Announcement): void {
+    store(announcement);
     for (const peer of peers) peer.send(announcement);
   }
 
   timers.every(1000, () => {
-    for (const [instance, {announcement, until}] of held) {
-      if (until > timers.now()) continue;
-      held.delete(instance);
-      spread({...announcement, state: 'gone'});
+    for (const [instance, {announcement, expiresAt}] of leases) {
+      if (expiresAt > timers.now()) continue;
+      leases.delete(instance);
+      broadcast({...announcement, state: 'gone'});
     }
   });
 
@@ -66,13 +67,13 @@
       nodes.add(channel);
       channel.onMessage(body => receive(body as NodeMessage));
       channels.onClose(() => nodes.delete(channel));
-      const instances = [...held.values()].map(one => one.announcement);
+      const instances = [...leases.values()].map(one => one.announcement);
       channel.send({kind: 'delta', instances});
     },
     peer(channels) {
       const channel = channels.on('endpoints');
       peers.add(channel);
-      channel.onMessage(body => keep(body as Announcement));
+      channel.onMessage(body => store(body as Announcement));
       channels.onClose(() => peers.delete(channel));
     },
   };
--- a/bench/endpoints/tick.ts
+++ b/bench/endpoints/tick.ts
@@ -6,17 +6,21 @@
 import {createLoopChannels} from './crowd.js';
 
 /**
- * Processor time of a home's periodic work: sweeps, and the digests for the
- * other homes. Time is moved by hand and messages end in memory, so that only
- * the home's own decisions are counted.
+ * Measures the processor time of a home's periodic work: sweeps and digests for
+ * the other homes. It uses fake timers and in-memory channels, so that only the
+ * home's own work is measured.
  */
 
+/** Simulated seconds per round. */
 const ticks = 300;
-/** What else runs on the machine only adds, so the least of these is taken. */
+/**
+ * Number of rounds; the smallest result counts, since other load on the machine
+ * can only add to a measurement.
+ */
 const rounds = 5;
 const services = 710;
 
-/** Microseconds for each second of a home with so many records and peers. */
+/** Returns microseconds per second of a home with this many records and peers. */
 export function measureTick(instances: number, peers: number): number {
   const timers = createFakeTimers(1_000_000);
   const home = createRegistry({
@@ -30,7 +34,7 @@
   for (let peer = 0; peer < peers; peer++) {
     home.peer(createLoopChannels(receive => receivers.push(receive)));
   }
-  const sayRoots = () => {
+  const sendRoots = () => {
     for (const [index, receive] of receivers.entries()) {
       receive({
         kind: 'root',
@@ -41,7 +45,7 @@
       });
     }
   };
-  sayRoots();
+  sendRoots();
   receivers[0]!({
     kind: 'records',
     records: Array.from({length: instances}, (_, index) => ({
@@ -64,17 +68,17 @@
       goneFor: 0,
     })),
   });
-  const run = () => {
-    sayRoots();
+  const runTick = () => {
+    sendRoots();
     timers.advance(1000);
   };
-  let least = Infinity;
+  let minimum = Infinity;
   for (let round = 0; round < rounds; round++) {
     const before = process.cpuUsage();
-    for (let tick = 0; tick < ticks; tick++) run();
+    for (let tick = 0; tick < ticks; tick++) runTick();
     const {user, system} = process.cpuUsage(before);
-    least = Math.min(least, (user + system) / ticks);
+    minimum = Math.min(minimum, (user + system) / ticks);
   }
   home.close();
-  return least;
+  return minimum;
 }
--- a/bench/experiment.ts
+++ b/bench/experiment.ts
@@ -1,51 +1,51 @@
 import type {Plot} from '../src/plot/plot.js';
 
-/** What an experiment is, for `npm run bench`. */
+/** Types of the experiments that `npm run bench` runs. */
 
-/** How one run is bounded. */
+/** Options of a run. */
 export interface RunOptions {
-  /** Seed of every random choice; the same seed gives the same load. */
+  /** Seed of all random choices; the same seed gives the same load. */
   readonly seed: number;
-  /** Seconds that the measured part may take, all variants together. */
+  /** Seconds that the measurements of all variants may take together. */
   readonly seconds: number;
 }
 
-/** One figure. */
+/** One measured figure. */
 export interface Row {
   /** What was measured, such as `added latency p99`. */
   readonly figure: string;
   readonly unit: string;
   readonly value: number;
-  /** The same figure of the baseline in the same run; absent for a baseline's own. */
+  /** The baseline's value in the same run; absent if the row has no baseline. */
   readonly baseline?: number;
   /** `value` divided by `baseline`. */
   readonly ratio?: number;
 }
 
-/** What a run gave. */
+/** The results of a run. */
 export interface Outcome {
   readonly rows: readonly Row[];
   readonly plots?: readonly Plot[];
-  /** Counts that tell how far the figures can be trusted. */
+  /** Counts that show how reliable the figures are, such as sample sizes. */
   readonly counts?: Readonly<Record<string, number>>;
-  /** What a reader must know besides, such as parts that were not run. */
+  /** Additional information for the reader, such as parts that did not run. */
   readonly notes?: readonly string[];
 }
 
-/** One experiment; its module under `experiments/` exports it as `experiment`. */
+/** An experiment; its module under `experiments/` exports it as `experiment`. */
 export interface Experiment {
-  /** The file's name without its ending. */
+  /** File name of the module without its extension. */
   readonly name: string;
-  /** One line. */
+  /** Description in one line. */
   readonly about: string;
-  /** What the figures are compared to, measured in the same run. */
+  /** Description of what the figures are compared to, measured in the same run. */
   readonly baseline: string;
-  /** Seconds when the command line names none. */
+  /** Default of `RunOptions.seconds`. */
   readonly seconds: number;
   run(options: RunOptions): Promise<Outcome>;
 }
 
-/** A row set against its baseline. */
+/** Creates a row that compares a value to its baseline. */
 export function compare(
   figure: string,
   unit: string,
--- a/bench/main.ts
+++ b/bench/main.ts
@@ -6,7 +6,7 @@
 import {formatFigure, measurementRows} from './measurements.js';
 import {drawPlot} from '../src/plot/plot.js';
 
-/** The bench's command line: `list`, or the name of one experiment. */
+/** Command line of the bench: lists the experiments or runs one of them. */
 
 const usage = `Usage:
   npm run bench -- list
@@ -19,8 +19,8 @@
 const resultsFolder = join('bench', 'results');
 const measurementsFile = join('docs', 'MEASUREMENTS.md');
 
-/** Most seconds that one run may load the machine. */
-const longestRun = 60;
+/** Largest value of --seconds; bounds how long a run loads the machine. */
+const maxSeconds = 60;
 
 async function experimentNames(): Promise<string[]> {
   const files = await readdir(experimentsFolder);
@@ -121,14 +121,15 @@
   const seed = Number(values.seed);
   const seconds = Number(values.seconds ?? experiment.seconds);
   if (!Number.isInteger(seed)) return fail('--seed takes a whole number');
-  if (!(seconds > 0 && seconds <= longestRun)) {
-    return fail(`--seconds takes a number up to ${longestRun}`);
+  if (!(seconds > 0 && seconds <= maxSeconds)) {
+    return fail(`--seconds takes a number up to ${maxSeconds}`);
   }
   return measure(experiment, {seed, seconds}, values);
 }
 
 main(process.argv.slice(2)).then(
-  // Links and pools that an experiment left open must not hold the bench.
+  // Exits explicitly, as links and pools that are still open would keep the
+  // process running.
   code => process.exit(code),
   (error: Error) => {
     process.stderr.write(`bench: ${error.message}\n`);
--- a/bench/measurements.test.ts
+++ b/bench/measurements.test.ts
@@ -2,7 +2,7 @@
 import type {Experiment} from './experiment.js';
 import {measurementRows} from './measurements.js';
 
-test('a measured row holds the command that repeats it and the ratio', t => {
+test('a row contains the command that repeats the measurement and the ratio', t => {
   const experiment = {name: 'hops', baseline: 'direct'} as Experiment;
   const rows = measurementRows(
     '2026-12-02',
--- a/bench/measurements.ts
+++ b/bench/measurements.ts
@@ -1,8 +1,8 @@
 import type {Experiment, Row, RunOptions} from './experiment.js';
 
-/** Rows of docs/MEASUREMENTS.md. */
+/** Formats the rows of docs/MEASUREMENTS.md. */
 
-/** One table row per figure that was set against its baseline. */
+/** Returns one table row per figure. */
 export function measurementRows(
   date: string,
   experiment: Experiment,
@@ -25,7 +25,7 @@
     .join('');
 }
 
-/** A figure with four digits that count. */
+/** Formats a figure with four significant digits. */
 export function formatFigure(value: number): string {
   if (Number.isInteger(value)) return value.toString();
   return Number(value.toPrecision(4)).toString();
--- a/bench/memory.ts
+++ b/bench/memory.ts
@@ -2,17 +2,17 @@
 
 /** Memory of one process, in megabytes. */
 export interface Memory {
-  /** All pages in memory. */
+  /** Resident pages. */
   readonly resident: number;
-  /** Pages that it shares with no other process and has written to. */
+  /** Resident pages that are not shared and were written to. */
   readonly privateDirty: number;
-  /** All pages that it shares with no other process now. */
+  /** All resident pages that are not shared with other processes. */
   readonly private: number;
 }
 
 const kilobytesPerMegabyte = 1024;
 
-/** Reads it from the kernel's summary of the process's mappings. */
+/** Reads the memory of a process from its smaps_rollup file (Linux only). */
 export function readMemory(pid: number): Memory {
   const text = readFileSync(`/proc/${pid}/smaps_rollup`, 'utf8');
   const megabytes = (key: string) => {
--- a/bench/requests/arrivals.ts
+++ b/bench/requests/arrivals.ts
@@ -1,11 +1,14 @@
-/** Open-loop arrivals: calls come by chance whether or not answers do. */
+/**
+ * Open-loop arrivals: calls arrive at random times, independent of the answers to
+ * earlier calls.
+ */
 import {Agent, request} from 'node:http';
 import {performance} from 'node:perf_hooks';
 import {build} from 'hdr-histogram-js';
 import type {Histogram} from 'hdr-histogram-js';
 import type {Random} from '../../src/random/random.js';
 
-/** One kind of call that is timed. */
+/** A kind of call whose latency is measured. */
 export interface Target {
   readonly name: string;
   readonly address: string;
@@ -13,23 +16,26 @@
   readonly headers?: Record<string, string>;
 }
 
-/** How calls come. */
+/** Options of timeArrivals. */
 export interface ArrivalOptions {
   readonly targets: readonly Target[];
-  /** Calls a second to each target. */
+  /** Calls per second to each target. */
   readonly rate: number;
   readonly seconds: number;
   readonly random: Random;
 }
 
-/** What came of the calls to one target. */
+/** The results of the calls to one target. */
 export interface Timed {
-  /** Latencies of whole answers with status 200, in microseconds. */
+  /** Latencies of complete answers with status 200, in microseconds. */
   readonly latency: Histogram;
   readonly failed: number;
 }
 
-/** Calls each target in turn, in one run, so that their figures compare. */
+/**
+ * Calls all targets in the same run, each call to a random target, so that their
+ * figures are comparable.
+ */
 export async function timeArrivals(
   options: ArrivalOptions,
 ): Promise<Map<string, Timed>> {
@@ -39,40 +45,40 @@
     results.set(name, {latency: build(), failed: 0});
   }
   const agent = new Agent({keepAlive: true, maxSockets: 256});
-  const open = new Set<Promise<void>>();
+  const openCalls = new Set<Promise<void>>();
   const start = performance.now();
   const end = start + options.seconds * 1000;
-  let due = start;
-  while (due < end) {
-    due +=
+  let scheduledAt = start;
+  while (scheduledAt < end) {
+    scheduledAt +=
       -Math.log(1 - random.fraction()) * (1000 / options.rate / targets.length);
-    const wait = due - performance.now();
+    const wait = scheduledAt - performance.now();
     if (wait > 0) await new Promise(resolve => setTimeout(resolve, wait));
     const target = random.pick(targets);
-    const call = time(agent, target, results.get(target.name)!);
-    open.add(call);
-    void call.finally(() => open.delete(call));
+    const call = timeCall(agent, target, results.get(target.name)!);
+    openCalls.add(call);
+    void call.finally(() => openCalls.delete(call));
   }
-  await Promise.all(open);
+  await Promise.all(openCalls);
   agent.destroy();
   return results;
 }
 
-function time(
+function timeCall(
   agent: Agent,
   target: Target,
   result: {latency: Histogram; failed: number},
 ): Promise<void> {
   const [host, port] = target.address.split(':');
   const {path, headers} = target;
-  const since = performance.now();
+  const startedAt = performance.now();
   return new Promise(resolve => {
     const call = request({agent, host, port, path, headers}, answer => {
       answer.resume();
       answer.on('close', () => {
-        const whole = answer.complete && answer.statusCode === 200;
-        const taken = Math.round((performance.now() - since) * 1000);
-        if (whole) result.latency.recordValue(Math.max(1, taken));
+        const isWhole = answer.complete && answer.statusCode === 200;
+        const latency = Math.round((performance.now() - startedAt) * 1000);
+        if (isWhole) result.latency.recordValue(Math.max(1, latency));
         else result.failed++;
         resolve();
       });
--- a/bench/requests/messages.ts
+++ b/bench/requests/messages.ts
@@ -1,50 +1,51 @@
 import type {Configuration} from '../../src/configuration/configuration.js';
 import type {Announcement} from '../../src/endpoints/messages.js';
 
-/** What the bench tells a process it started, and what comes back. */
+/** Messages between a request bench and its processes over Node.js IPC. */
 
-/** Starts a part in the process. */
+/** Commands to a process: starts what it runs, or asks for its usage. */
 export type Command =
   | {
       readonly kind: 'upstream';
-      /** Milliseconds that each request takes; 0 to answer at once. */
+      /** Milliseconds that each request takes; 0 to answer immediately. */
       readonly work: number;
-      /** Bytes of each answer. */
+      /** Body size of each answer. */
       readonly bytes: number;
     }
   | {
       readonly kind: 'node';
       readonly instance: string;
-      /** Address of the upstream beside it; absent for a mere entry. */
+      /** Address of the upstream beside it; absent for a node with only an entry. */
       readonly upstream?: string;
       readonly instances: readonly Announcement[];
       readonly seed: number;
     }
-  /** A hop that forwards and decides nothing. */
+  /** A plain HTTP proxy without any decisions. */
   | {readonly kind: 'bare'; readonly target: string}
   | {readonly kind: 'usage'};
 
-/** The addresses of a part that was started. */
+/** The addresses of what was started. */
 export interface Started {
   readonly kind: 'started';
   readonly address: string;
   readonly gate?: string;
 }
 
-/** What the process has used since its start. */
+/** Resources that the process has used since its start. */
 export interface Usage {
   readonly kind: 'usage';
   /** Microseconds of processor time. */
   readonly processor: number;
-  /** Bytes resident. */
+  /** Resident memory in bytes. */
   readonly resident: number;
+  /** Bytes of heap in use. */
   readonly heap: number;
 }
 
-/** Any answer of a process. */
+/** Any report of a process. */
 export type Report = Started | Usage;
 
-/** The configuration of all request benches: one service, lookups on it. */
+/** The configuration of all request benches: one service with lookups. */
 export const benchConfiguration: Configuration = {
   version: 1,
   services: new Map([
--- a/bench/requests/process.ts
+++ b/bench/requests/process.ts
@@ -20,25 +20,26 @@
 const bodyIdle = 10_000;
 const anyPort = '127.0.0.1:0';
 
-process.on('message', (order: Command) => void obey(order));
+process.on('message', (command: Command) => void execute(command));
 
-async function obey(order: Command): Promise<void> {
-  if (order.kind === 'usage') return tellUsage();
-  if (order.kind === 'upstream') return startUpstream(order);
-  if (order.kind === 'bare') return startBare(order);
-  return startNode(order);
+async function execute(command: Command): Promise<void> {
+  if (command.kind === 'usage') return reportUsage();
+  if (command.kind === 'upstream') return startUpstream(command);
+  if (command.kind === 'bare') return startBare(command);
+  return startNode(command);
 }
 
-function tell(report: Report): void {
+function sendReport(report: Report): void {
   process.send!(report);
 }
 
-function tellUsage(): void {
-  // Collected memory is not the connections'; `--expose-gc` makes it exact.
+function reportUsage(): void {
+  // Collects garbage, so that the heap figure shows what the connections hold;
+  // this needs `--expose-gc`.
   globalThis.gc?.();
   const {user, system} = process.cpuUsage();
   const {rss, heapUsed} = process.memoryUsage();
-  tell({
+  sendReport({
     kind: 'usage',
     processor: user + system,
     resident: rss,
@@ -46,18 +47,18 @@
   });
 }
 
-function startUpstream(order: Command & {kind: 'upstream'}): void {
-  const body = Buffer.alloc(order.bytes, 'x');
+function startUpstream(command: Command & {kind: 'upstream'}): void {
+  const body = Buffer.alloc(command.bytes, 'x');
   const server = createServer({keepAliveTimeout: 75_000}, (_req, res) => {
     res.setHeader('content-length', body.length);
-    if (order.work === 0) res.end(body);
-    else timers.after(order.work, () => res.end(body));
+    if (command.work === 0) res.end(body);
+    else timers.after(command.work, () => res.end(body));
   });
   listen(server);
 }
 
-function startBare(order: Command & {kind: 'bare'}): void {
-  const [host, port] = order.target.split(':');
+function startBare(command: Command & {kind: 'bare'}): void {
+  const [host, port] = command.target.split(':');
   const agent = new Agent({keepAlive: true, maxSockets: 256});
   const server = createServer(
     {keepAliveTimeout: 75_000},
@@ -79,18 +80,18 @@
 function listen(server: Server): void {
   server.listen(0, '127.0.0.1', () => {
     const {port} = server.address() as AddressInfo;
-    tell({kind: 'started', address: `127.0.0.1:${port}`});
+    sendReport({kind: 'started', address: `127.0.0.1:${port}`});
   });
 }
 
-async function startNode(order: Command & {kind: 'node'}): Promise<void> {
+async function startNode(command: Command & {kind: 'node'}): Promise<void> {
   const gate =
-    order.upstream === undefined
+    command.upstream === undefined
       ? undefined
       : createGate({
-          instance: order.instance,
+          instance: command.instance,
           service: 'stock-desk',
-          upstream: order.upstream,
+          upstream: command.upstream,
           slots: 100,
           connections: 110,
           queueLength: 64,
@@ -111,12 +112,12 @@
       log,
     });
   await server?.listen();
-  const instances = order.instances.map(announcement => ({
+  const instances = command.instances.map(announcement => ({
     ...announcement,
     gate: announcement.gate || server!.address,
   }));
   const entry = createEntry({
-    name: order.instance,
+    name: command.instance,
     failureDomain: 'rusayl-a',
     address: anyPort,
     configuration,
@@ -125,9 +126,9 @@
     headerLimit,
     bodyLimit,
     timers,
-    random: createRandom(order.seed),
+    random: createRandom(command.seed),
     log,
   });
   await entry.listen();
-  tell({kind: 'started', address: entry.address, gate: server?.address});
+  sendReport({kind: 'started', address: entry.address, gate: server?.address});
 }
--- a/bench/requests/processes.ts
+++ b/bench/requests/processes.ts
@@ -1,10 +1,10 @@
-/** Processes of the request benches, started and ended by the bench. */
+/** Starts and stops the processes of the request benches. */
 import {fork} from 'node:child_process';
 import type {ChildProcess} from 'node:child_process';
 import type {Announcement} from '../../src/endpoints/messages.js';
 import type {Command, Report, Started, Usage} from './messages.js';
 
-/** One started process. */
+/** A process that the bench started. */
 export interface BenchProcess extends Started {
   usage(): Promise<Usage>;
   end(): void;
@@ -12,13 +12,13 @@
 
 const program = new URL('./process.js', import.meta.url);
 
-/** Starts a process and a part in it. */
+/** Starts a process that runs what the command says. */
 export async function startBenchProcess(
-  order: Command,
+  command: Command,
   execArgv: string[] = ['--expose-gc'],
 ): Promise<BenchProcess> {
   const child = fork(program, {execArgv});
-  const started = (await ask(child, order)) as Started;
+  const started = (await ask(child, command)) as Started;
   return {
     ...started,
     usage: async () => (await ask(child, {kind: 'usage'})) as Usage,
@@ -26,31 +26,31 @@
   };
 }
 
-function ask(child: ChildProcess, order: Command): Promise<Report> {
+function ask(child: ChildProcess, command: Command): Promise<Report> {
   return new Promise((resolve, reject) => {
     child.once('message', message => resolve(message as Report));
     child.once('exit', () => reject(new Error('a bench process ended')));
-    child.send(order);
+    child.send(command);
   });
 }
 
-/** The path that is measured: an upstream, its own node, and another node. */
+/** The measured path: an upstream, the node beside it, and a caller's node. */
 export interface CallPath {
   readonly upstream: BenchProcess;
-  /** The node beside the upstream: entry and gate in one. */
+  /** The node beside the upstream, with entry and gate. */
   readonly upstreamNode: BenchProcess;
-  /** A node whose entry reaches the upstream over the other's gate. */
+  /** A node whose entry reaches the upstream through the other node's gate. */
   readonly entry: BenchProcess;
 }
 
-/** Starts the path; the upstream answers at once with `bytes`. */
+/** Starts the path; the upstream answers immediately with `bytes` bytes. */
 export async function startCallPath(
   seed: number,
   bytes: number,
 ): Promise<CallPath> {
   const instance = 'stock-desk-1';
   const upstream = await startBenchProcess({kind: 'upstream', work: 0, bytes});
-  const beside = await startBenchProcess({
+  const upstreamNode = await startBenchProcess({
     kind: 'node',
     instance,
     upstream: upstream.address,
@@ -60,13 +60,13 @@
   const entry = await startBenchProcess({
     kind: 'node',
     instance: 'caller-1',
-    instances: [benchAnnouncement(instance, beside.gate)],
+    instances: [benchAnnouncement(instance, upstreamNode.gate)],
     seed,
   });
-  return {upstream, upstreamNode: beside, entry};
+  return {upstream, upstreamNode, entry};
 }
 
-/** An announcement of a bench instance; an empty gate means its own node's. */
+/** Announcement of a bench instance; an empty gate stands for its node's gate. */
 export function benchAnnouncement(
   instance: string,
   gate = '',
