--- a/bench/demo/shared-checks.ts
+++ b/bench/demo/shared-checks.ts
@@ -87,9 +87,9 @@
   key: string,
 ): Promise<number> {
   let runs = 0;
-  for (const place of deployment.instances) {
-    if (place.service !== service) continue;
-    const answer = await request(`http://${place.upstreamAddress}/counts`);
+  for (const instance of deployment.instances) {
+    if (instance.service !== service) continue;
+    const answer = await request(`http://${instance.upstreamAddress}/counts`);
     const counts = (await answer.body.json()) as {
       runs: {[key: string]: number};
     };
--- a/bench/experiments/claims-moves.ts
+++ b/bench/experiments/claims-moves.ts
@@ -19,16 +19,17 @@
 import {compare} from '../experiment.js';
 import type {Experiment, Outcome, Row, RunOptions} from '../experiment.js';
 
-/** Claims a second while keepers move. */
+/** Claims per second. */
 const rate = 200;
 const service = 'stock-desk';
 const answer = {status: 200, headers: [], body: Buffer.alloc(300, 'x')};
 const domains = ['rusayl-a', 'rusayl-b', 'seeb-c', 'rusayl-a'];
 const firstPort = 24_380;
-/** The letter's services, and instances of each. */
+/** Number of services that the project is designed for, and instances of each. */
 const services = 710;
 const instances = 10;
-const looks = 20;
+/** Number of repetitions over which the planning time is averaged. */
+const planningRounds = 20;
 
 const timers = createTimers();
 const network = createTcpNetwork();
@@ -36,8 +37,8 @@
 const wait = (time: number) =>
   new Promise<void>(done => timers.after(time, done));
 
-/** Four keepers, of which three are in the first set, and a gate. */
-async function createStage() {
+/** Creates four keepers, three of which are in the first set, and a gate. */
+async function createCluster() {
   const identities: Keeper[] = [];
   const keepers: ClaimKeeper[] = [];
   for (const [index, failureDomain] of domains.entries()) {
@@ -61,23 +62,27 @@
     assignment: () => current,
   });
 
-  function put(next: KeeperAssignment): void {
+  function assign(next: KeeperAssignment): void {
     current = next;
     for (const keeper of keepers) keeper.assign(service, next);
   }
 
-  /** Puts the keeper that is outside in the place of one inside. */
-  function move(): void {
+  /** Replaces one keeper of the set by the one that is outside of it. */
+  function replaceKeeper(): void {
     const {epoch, members} = current;
     const outside = identities.find(one => !members.includes(one))!;
     const previous = {epoch, members};
-    put({epoch: epoch + 1, members: [...members.slice(1), outside], previous});
+    assign({
+      epoch: epoch + 1,
+      members: [...members.slice(1), outside],
+      previous,
+    });
   }
 
-  put(current);
+  assign(current);
   return {
     claims,
-    move,
+    replaceKeeper,
     async stop() {
       claims.stop();
       for (const keeper of keepers) await keeper.stop();
@@ -85,16 +90,19 @@
   };
 }
 
-type Stage = Awaited<ReturnType<typeof createStage>>;
+type Cluster = Awaited<ReturnType<typeof createCluster>>;
 
 interface Measured {
   readonly latency: Percentiles;
   readonly refused: number;
 }
 
-/** Claims for a time; keepers move each `period` milliseconds, 0 for never. */
+/**
+ * Acquires claims for `duration` milliseconds; a keeper is replaced each `period`
+ * milliseconds, or never if `period` is 0.
+ */
 async function load(
-  {claims, move}: Stage,
+  {claims, replaceKeeper}: Cluster,
   name: string,
   duration: number,
   period: number,
@@ -102,19 +110,24 @@
 ): Promise<Measured> {
   const random = createRandom(seed);
   const histogram = build({numberOfSignificantValueDigits: 3});
-  const open: Array<Promise<void>> = [];
-  const moving = period > 0 ? timers.every(period, move) : undefined;
+  const pendingClaims: Array<Promise<void>> = [];
+  const moving = period > 0 ? timers.every(period, replaceKeeper) : undefined;
   const start = timers.now();
   let refused = 0;
   let count = 0;
 
-  async function one(key: string): Promise<void> {
-    const begun = performance.now();
+  async function acquire(key: string): Promise<void> {
+    const startedAt = performance.now();
     const deadline = timers.now() + 2000;
     const fingerprint = 'f'.repeat(43);
-    const got = await claims.acquire({service, key, fingerprint, deadline});
-    histogram.recordValue(Math.round((performance.now() - begun) * 1000));
-    if (got.kind === 'granted') got.claim.complete(answer);
+    const acquired = await claims.acquire({
+      service,
+      key,
+      fingerprint,
+      deadline,
+    });
+    histogram.recordValue(Math.round((performance.now() - startedAt) * 1000));
+    if (acquired.kind === 'granted') acquired.claim.complete(answer);
     else refused++;
   }
 
@@ -122,11 +135,11 @@
     const pause = next - timers.now();
     if (pause > 0) await wait(pause);
     for (; next <= timers.now(); next += gap()) {
-      open.push(one(`${name}-${count++}`));
+      pendingClaims.push(acquire(`${name}-${count++}`));
     }
   }
   moving?.cancel();
-  await Promise.all(open);
+  await Promise.all(pendingClaims);
   return {latency: percentilesOf(histogram), refused};
 
   function gap(): number {
@@ -134,34 +147,35 @@
   }
 }
 
-async function fill({claims}: Stage, count: number): Promise<void> {
+async function fill({claims}: Cluster, count: number): Promise<void> {
   for (let index = 0; index < count; index++) {
     const deadline = timers.now() + 5000;
     const key = `held-${index}`;
     const work = {service, key, fingerprint: 'f'.repeat(43), deadline};
-    const got = await claims.acquire(work);
-    if (got.kind === 'granted') got.claim.complete(answer);
+    const acquired = await claims.acquire(work);
+    if (acquired.kind === 'granted') acquired.claim.complete(answer);
   }
 }
 
-/** Milliseconds of the leader's loop for one look at all services. */
-function measureLook(): number {
+/** Milliseconds that the leader needs to plan the keepers of all services once. */
+function measurePlanning(): number {
   const views = Array.from({length: services}, (_, number) =>
     createView(`service-${number}`),
   );
-  const begun = performance.now();
-  for (let look = 0; look < looks; look++) views.forEach(planKeepers);
-  return (performance.now() - begun) / looks;
+  const startedAt = performance.now();
+  for (let round = 0; round < planningRounds; round++)
+    views.forEach(planKeepers);
+  return (performance.now() - startedAt) / planningRounds;
 }
 
 function createView(name: string): ServiceView {
-  const known = Array.from({length: instances}, (_, index) =>
+  const knownInstances = Array.from({length: instances}, (_, index) =>
     createInstance(name, index),
   );
   const view = {
     service: name,
     current: undefined,
-    instances: known,
+    instances: knownInstances,
     missing: new Set<string>(),
     retention: 900_000,
     nextEpoch: 2,
@@ -192,17 +206,17 @@
 
 async function run({seed, seconds}: RunOptions): Promise<Outcome> {
   const rows: Row[] = [];
-  const half = (seconds * 1000) / 4;
+  const duration = (seconds * 1000) / 4;
   for (const held of [0, 5000]) {
-    const stage = await createStage();
-    await load(stage, 'warm', 500, 0, seed + 1);
-    await fill(stage, held);
-    const still = await load(stage, 'still', half, 0, seed);
-    const moving = await load(stage, 'moving', half, 1000, seed);
-    await stage.stop();
+    const cluster = await createCluster();
+    await load(cluster, 'warm', 500, 0, seed + 1);
+    await fill(cluster, held);
+    const stable = await load(cluster, 'still', duration, 0, seed);
+    const moving = await load(cluster, 'moving', duration, 1000, seed);
+    await cluster.stop();
     const add = (figure: string, pick: (one: Measured) => number) =>
       rows.push(
-        compare(`${figure}, ${held} held`, 'ms', pick(moving), pick(still)),
+        compare(`${figure}, ${held} held`, 'ms', pick(moving), pick(stable)),
       );
     add('claim p50 while keepers move', one => one.latency.p50);
     add('claim p99 while keepers move', one => one.latency.p99);
@@ -216,19 +230,20 @@
   rows.push({
     figure: `a look at ${services} services whose sets are whole`,
     unit: 'ms',
-    value: measureLook(),
+    value: measurePlanning(),
   });
   return {
     rows,
     counts: {'claims a second': rate, 'moves a second': 1},
-    notes: ['all keepers and the gate share one process here'],
+    notes: ['all keepers and the gate run in one process'],
   };
 }
 
-/** What a change of keepers costs keyed work, and looking after them the leader. */
+/** Cost of keeper replacements for requests with keys, and of planning at the leader. */
 export const experiment: Experiment = {
   name: 'claims-moves',
-  about: 'keyed work while one keeper a second is replaced',
+  about:
+    'requests with idempotency keys while one keeper per second is replaced',
   baseline: 'the same load on keepers that stay',
   seconds: 24,
   run,
--- a/bench/experiments/claims-placement.ts
+++ b/bench/experiments/claims-placement.ts
@@ -22,9 +22,9 @@
 import {compare} from '../experiment.js';
 import type {Experiment, Outcome, Row, RunOptions} from '../experiment.js';
 
-/** Claims a second; a busy gate's share of keyed work. */
+/** Claims per second: the requests with keys at a busy gate. */
 const rate = 200;
-/** Milliseconds one way between failure domains, as the brief has them. */
+/** One-way delays between failure domains in milliseconds. */
 const distances = [0, 1];
 const answer = {
   status: 200,
@@ -36,7 +36,7 @@
 
 interface Measured {
   readonly latency: Percentiles;
-  /** Bytes and messages on all links, per claim with its settlement. */
+  /** Bytes and messages on all links per claim, including its settlement. */
   readonly bytes: number;
   readonly messages: number;
   /** Microseconds of processor time per claim, all processes together. */
@@ -47,7 +47,7 @@
 const wait = (time: number) =>
   new Promise<void>(done => timers.after(time, done));
 
-/** Acquires and completes claims that arrive by chance. */
+/** Acquires and completes claims that arrive at random times. */
 async function load(
   claims: Claims,
   name: string,
@@ -56,13 +56,13 @@
 ): Promise<{latency: Percentiles; count: number}> {
   const random = createRandom(seed);
   const histogram = build({numberOfSignificantValueDigits: 3});
-  const open: Array<Promise<void>> = [];
+  const pendingClaims: Array<Promise<void>> = [];
   const start = timers.now();
   let next = start;
   let count = 0;
 
-  async function one(key: string): Promise<void> {
-    const begun = performance.now();
+  async function acquire(key: string): Promise<void> {
+    const startedAt = performance.now();
     const deadline = timers.now() + 5000;
     const acquired = await claims.acquire({
       service: 'stock-desk',
@@ -71,7 +71,7 @@
       deadline,
     });
     if (acquired.kind !== 'granted') throw new Error(acquired.kind);
-    const microseconds = (performance.now() - begun) * 1000;
+    const microseconds = (performance.now() - startedAt) * 1000;
     histogram.recordValue(Math.max(1, Math.round(microseconds)));
     acquired.claim.complete(answer);
   }
@@ -80,10 +80,10 @@
     const pause = next - timers.now();
     if (pause > 0) await wait(pause);
     for (; next <= timers.now(); next += gap()) {
-      open.push(one(`${name}-key-${count++}`));
+      pendingClaims.push(acquire(`${name}-key-${count++}`));
     }
   }
-  await Promise.all(open);
+  await Promise.all(pendingClaims);
   return {latency: percentilesOf(histogram), count};
 
   function gap(): number {
@@ -105,11 +105,11 @@
   const idleMessages = (traffic.messages - idle.messages) / idleTime;
   const before = {...traffic};
   const processor = process.cpuUsage();
-  const begun = timers.now();
+  const startedAt = timers.now();
   const {latency, count} = await load(placement.claims, 'run', duration, seed);
   await wait(100);
   const used = process.cpuUsage(processor);
-  const time = timers.now() - begun;
+  const time = timers.now() - startedAt;
   if (placement.sizes().some(size => size < count * 0.99)) {
     throw new Error(`claims held: ${placement.sizes().join(', ')} of ${count}`);
   }
@@ -123,7 +123,7 @@
   };
 }
 
-/** Bytes of heap that one settled claim takes at one keeper. */
+/** Bytes of memory that one settled claim takes at one keeper. */
 function measureMemory(bodyBytes: number): number {
   setFlagsFromString('--expose-gc');
   const collect = runInNewContext('gc') as () => void;
@@ -140,10 +140,10 @@
     };
     table.vote({kind: 'acquire', epoch: 1, lease: 1000, ...work});
     const body = new Uint8Array(bodyBytes);
-    const kept = {status: 200, headers: [], body};
+    const storedAnswer = {status: 200, headers: [], body};
     table.settle({
       kind: 'settle',
-      settlement: {kind: 'answered', answer: kept},
+      settlement: {kind: 'answered', answer: storedAnswer},
       ...work,
     });
   }
@@ -155,9 +155,9 @@
 }
 
 interface HandoverCost {
-  /** Milliseconds from a new set's start until it holds all claims. */
+  /** Milliseconds from the assignment of a new keeper until it has all claims. */
   readonly time: number;
-  /** Longest time, in milliseconds, that the loop stood still meanwhile. */
+  /** Longest delay of the event loop meanwhile, in milliseconds. */
   readonly standstill: number;
 }
 
@@ -187,14 +187,14 @@
   const keeper = await createKeeper({self, network, timers, log, limits});
   const delay = monitorEventLoopDelay({resolution: 1});
   delay.enable();
-  const begun = performance.now();
+  const startedAt = performance.now();
   keeper.assign('stock-desk', {
     epoch: 2,
     members: [self, ...staying],
     previous: assignment,
   });
   while (keeper.size < claims) await wait(1);
-  const time = performance.now() - begun;
+  const time = performance.now() - startedAt;
   delay.disable();
   await keeper.stop();
   await placement.stop();
@@ -248,7 +248,7 @@
     rows,
     counts: {'claims a second': rate},
     notes: [
-      'gate and keepers, or gate and control group, share one process here, so the processor time is theirs together',
+      'gate and keepers, or gate and control group, run in one process, so the processor time is their sum',
       'the log is on this machine’s disk and synced by each member',
     ],
   };
@@ -258,24 +258,29 @@
   distance: number,
   results: ReadonlyMap<string, Measured>,
 ): Row[] {
-  const base = results.get('gate')!;
+  const baseline = results.get('gate')!;
   const rows: Row[] = [];
   for (const [name, measured] of results) {
-    const where = `${name}, ${distance} ms one way`;
+    const place = `${name}, ${distance} ms one way`;
     const add = (figure: string, unit: string, pick: (m: Measured) => number) =>
       rows.push(
         name === 'gate'
-          ? {figure: `${figure}, ${where}`, unit, value: pick(measured)}
-          : compare(`${figure}, ${where}`, unit, pick(measured), pick(base)),
+          ? {figure: `${figure}, ${place}`, unit, value: pick(measured)}
+          : compare(
+              `${figure}, ${place}`,
+              unit,
+              pick(measured),
+              pick(baseline),
+            ),
       );
     add('claim p50', 'ms', one => one.latency.p50);
     add('claim p99', 'ms', one => one.latency.p99);
     add('processor time', 'us', one => one.processor);
     const {bytes, messages} = measured;
     if (name === 'gate') continue;
-    rows.push({figure: `bytes a claim, ${where}`, unit: 'B', value: bytes});
+    rows.push({figure: `bytes a claim, ${place}`, unit: 'B', value: bytes});
     rows.push({
-      figure: `messages a claim, ${where}`,
+      figure: `messages a claim, ${place}`,
       unit: '',
       value: messages,
     });
@@ -283,7 +288,7 @@
   return rows;
 }
 
-/** Where claims live: what each place adds to a call, and what it costs. */
+/** Latency, traffic and processor time of claims by the place that stores them. */
 export const experiment: Experiment = {
   name: 'claims-placement',
   about: 'idempotency claims at the gate, with keepers, in the log',
--- a/bench/experiments/configuration-apply.ts
+++ b/bench/experiments/configuration-apply.ts
@@ -14,27 +14,27 @@
 import {compare} from '../experiment.js';
 import type {Experiment, Outcome, Row, RunOptions} from '../experiment.js';
 
-/** Services of the size that the project is designed for. */
+/** Number of services that the project is designed for. */
 const designServices = 710;
 
-const routesEach = 3;
+const routesPerService = 3;
 
 const policies = 20;
 
-/** Operators who issue changes in turn; their answers fill the table. */
+/** Operators that send changes in turn; the machine stores an answer for each. */
 const operators = 20;
 
-/** Changes applied between two looks at the clock. */
+/** Number of changes between two readings of the clock. */
 const batch = 200;
 
-/** What one kind of run costs. */
+/** Cost of applying changes. */
 interface Cost {
-  /** Processor microseconds of one change. */
+  /** Microseconds of processor time per change. */
   readonly apply: number;
   readonly changes: number;
 }
 
-/** What looking at the whole state costs. */
+/** Cost of operations on the complete state: size in bytes, times in milliseconds. */
 interface WholeCost {
   readonly bytes: number;
   readonly snapshot: number;
@@ -73,7 +73,7 @@
   }
   for (let service = 0; service < services; service++) {
     const edits = [putService(`service-${service}`)];
-    for (let route = 0; route < routesEach; route++) {
+    for (let route = 0; route < routesPerService; route++) {
       edits.push(routeOf(service, route, 0));
     }
     send(edits);
@@ -83,7 +83,7 @@
     step() {
       const service = random.integer(services);
       if (index % 2 === 0) send([putService(`service-${service}`, index)]);
-      else send([routeOf(service, random.integer(routesEach), index)]);
+      else send([routeOf(service, random.integer(routesPerService), index)]);
     },
   };
 }
@@ -103,7 +103,7 @@
   return {apply: (user + system) / changes, changes};
 }
 
-/** Middle of nine runs in milliseconds. */
+/** Median of nine runs in milliseconds. */
 function time(run: () => void): number {
   const times = Array.from({length: 9}, () => {
     const start = performance.now();
@@ -132,7 +132,7 @@
   };
 }
 
-/** Bytes of heap that a machine with its answers, history and a copy holds. */
+/** Heap bytes of a machine with its stored answers, its history and one copy. */
 function measureHeap(services: number, seed: number): number {
   setFlagsFromString('--expose-gc');
   const collect = runInNewContext('gc') as () => void;
@@ -142,9 +142,9 @@
   for (let turn = 0; turn < 2000; turn++) load.step();
   load.machine.current();
   collect();
-  const held = process.memoryUsage().heapUsed - before;
+  const heldBytes = process.memoryUsage().heapUsed - before;
   load.step();
-  return held;
+  return heldBytes;
 }
 
 async function run(options: RunOptions): Promise<Outcome> {
@@ -195,7 +195,7 @@
 
 export const experiment: Experiment = {
   name: 'configuration-apply',
-  about: `processor time, snapshot and digest of the configuration at ${designServices} services with ${routesEach} routes each`,
+  about: `processor time, snapshot and digest of the configuration at ${designServices} services with ${routesPerService} routes each`,
   baseline: 'the same at 71 services',
   seconds: 12,
   run,
--- a/bench/experiments/consensus-failover.ts
+++ b/bench/experiments/consensus-failover.ts
@@ -7,17 +7,17 @@
 
 const baseTimeout = 500;
 
-/** How the leader's process ends. */
+/** How the leader's process ends: with SIGKILL or with a planned stop. */
 type End = 'kill' | 'stop';
 
-/** Ends the leader and returns the milliseconds until a change is accepted. */
+/** Ends the leader; returns milliseconds until another leader accepts a change. */
 async function failOver(
   group: ProcessGroup,
   turn: number,
   end: End,
 ): Promise<number> {
   const leader = await group.leader();
-  const from = performance.now();
+  const startedAt = performance.now();
   const ended = end === 'kill' ? group.kill(leader) : group.stopOne(leader);
   const others = group.names.filter(name => name !== leader);
   let isAccepted = false;
@@ -29,7 +29,7 @@
     );
     isAccepted = replies.some(({value}) => value === true);
   }
-  const gap = performance.now() - from;
+  const gap = performance.now() - startedAt;
   await ended;
   await group.start(leader);
   await group.until(async () => {
@@ -74,26 +74,36 @@
 
 async function run(options: RunOptions): Promise<Outcome> {
   const timeouts = [250, baseTimeout, 1000];
-  const part = (options.seconds * 1000) / (timeouts.length + 1);
+  const duration = (options.seconds * 1000) / (timeouts.length + 1);
   const rows: Row[] = [];
   const counts: Record<string, number> = {};
-  const found = new Map<number, Gaps>();
+  const gapsByTimeout = new Map<number, Gaps>();
   for (const timeout of timeouts) {
-    found.set(timeout, await measure(timeout, part, 'kill'));
+    gapsByTimeout.set(timeout, await measure(timeout, duration, 'kill'));
   }
-  const base = found.get(baseTimeout)!;
-  for (const [timeout, gaps] of found) {
+  const baseline = gapsByTimeout.get(baseTimeout)!;
+  for (const [timeout, gaps] of gapsByTimeout) {
     const label = `election timeout ${timeout} ms`;
     rows.push(
-      compare(`no accepting, median, ${label}`, 'ms', gaps.p50, base.p50),
-      compare(`no accepting, longest, ${label}`, 'ms', gaps.max, base.max),
+      compare(`no accepting, median, ${label}`, 'ms', gaps.p50, baseline.p50),
+      compare(`no accepting, longest, ${label}`, 'ms', gaps.max, baseline.max),
     );
     counts[`kills at ${timeout} ms`] = gaps.count;
   }
-  const stops = await measure(baseTimeout, part, 'stop');
+  const stops = await measure(baseTimeout, duration, 'stop');
   rows.push(
-    compare('no accepting, median, planned stop', 'ms', stops.p50, base.p50),
-    compare('no accepting, longest, planned stop', 'ms', stops.max, base.max),
+    compare(
+      'no accepting, median, planned stop',
+      'ms',
+      stops.p50,
+      baseline.p50,
+    ),
+    compare(
+      'no accepting, longest, planned stop',
+      'ms',
+      stops.max,
+      baseline.max,
+    ),
   );
   counts['planned stops'] = stops.count;
   return {rows, counts};
@@ -101,7 +111,7 @@
 
 export const experiment: Experiment = {
   name: 'consensus-failover',
-  about: 'time without an accepted change after the leader has gone',
+  about: 'time without an accepted change after the leader has ended',
   baseline: `kill -9 with an election timeout of ${baseTimeout} ms`,
   seconds: 40,
   run,
--- a/bench/experiments/consensus-idle.ts
+++ b/bench/experiments/consensus-idle.ts
@@ -4,26 +4,30 @@
 import type {Experiment, Outcome, Row, RunOptions} from '../experiment.js';
 
 interface Cost {
-  /** Milliseconds of processor time a second. */
+  /** Milliseconds of processor time per second. */
   readonly leaderTime: number;
   readonly followerTime: number;
-  /** Bytes sent a second. */
+  /** Bytes sent per second. */
   readonly leaderBytes: number;
   readonly followerBytes: number;
-  /** Resident bytes of the leader. */
+  /** Resident memory of the leader in bytes. */
   readonly memory: number;
 }
 
-/** Lets a group of `voters` idle for `seconds`. */
+/** Measures a group of `voters` that is idle for `seconds`. */
 async function measure(voters: number, seconds: number): Promise<Cost> {
   const group = await createProcessGroup({size: voters});
   try {
     const leader = await group.leader();
     const follower = group.names.find(name => name !== leader)!;
-    const both = [leader, follower];
-    const before = await Promise.all(both.map(name => group.view(name)));
+    const measuredMembers = [leader, follower];
+    const before = await Promise.all(
+      measuredMembers.map(name => group.view(name)),
+    );
     await delay(seconds * 1000);
-    const after = await Promise.all(both.map(name => group.view(name)));
+    const after = await Promise.all(
+      measuredMembers.map(name => group.view(name)),
+    );
     const rate = (at: number, key: 'processor' | 'bytesOut') =>
       (after[at]![key] - before[at]![key]) / seconds;
     return {
@@ -39,38 +43,38 @@
 }
 
 async function run(options: RunOptions): Promise<Outcome> {
-  const part = options.seconds / 2;
-  const base = await measure(3, part);
+  const duration = options.seconds / 2;
+  const baseline = await measure(3, duration);
   const rows: Row[] = [];
   for (const voters of [3, 5]) {
-    const cost = voters === 3 ? base : await measure(voters, part);
+    const cost = voters === 3 ? baseline : await measure(voters, duration);
     const label = `${voters} voters idle`;
     rows.push(
       compare(
         `leader time a second, ${label}`,
         'ms',
         cost.leaderTime,
-        base.leaderTime,
+        baseline.leaderTime,
       ),
       compare(
         `follower time a second, ${label}`,
         'ms',
         cost.followerTime,
-        base.followerTime,
+        baseline.followerTime,
       ),
       compare(
         `leader bytes a second, ${label}`,
         'B',
         cost.leaderBytes,
-        base.leaderBytes,
+        baseline.leaderBytes,
       ),
       compare(
         `follower bytes a second, ${label}`,
         'B',
         cost.followerBytes,
-        base.followerBytes,
+        baseline.followerBytes,
       ),
-      compare(`leader memory, ${label}`, 'B', cost.memory, base.memory),
+      compare(`leader memory, ${label}`, 'B', cost.memory, baseline.memory),
     );
   }
   return {rows};
@@ -78,7 +82,7 @@
 
 export const experiment: Experiment = {
   name: 'consensus-idle',
-  about: 'what the control group costs while nothing changes',
+  about: 'cost of the control group while nothing changes',
   baseline: '3 voters',
   seconds: 12,
   run,
--- a/bench/experiments/consensus-restart.ts
+++ b/bench/experiments/consensus-restart.ts
@@ -3,18 +3,18 @@
 import {compare} from '../experiment.js';
 import type {Experiment, Outcome, Row} from '../experiment.js';
 
-/** Changes that pass while a member is off. */
-const misses = [10, 1000, 10_000];
+/** Numbers of changes that are accepted while a member is down. */
+const missedCounts = [10, 1000, 10_000];
 const changeBytes = 400;
 const names = 2000;
 const snapshotEntries = 1000;
 
 interface Cost {
-  /** Milliseconds from the start of the process until its folder is open. */
+  /** Milliseconds from the process start until the data folder is open. */
   readonly start: number;
-  /** Milliseconds from there until it has applied everything. */
+  /** Milliseconds from then until all missed changes are applied. */
   readonly catchUp: number;
-  /** Bytes that the leader sent meanwhile. */
+  /** Bytes that the leader sent during the restart. */
   readonly bytes: number;
 }
 
@@ -22,7 +22,7 @@
   const group = await createProcessGroup({size: 3, snapshotEntries});
   try {
     const leader = await group.leader();
-    const late = group.names.find(name => name !== leader)!;
+    const restarted = group.names.find(name => name !== leader)!;
     const load = (count: number) =>
       group.ask(leader, {
         kind: 'load',
@@ -32,22 +32,22 @@
         names,
       });
     await load(names);
-    await group.kill(late);
+    await group.kill(restarted);
     await load(missed);
     const before = await group.view(leader);
-    const from = performance.timeOrigin + performance.now();
-    await group.start(late);
+    const startedAt = performance.timeOrigin + performance.now();
+    await group.start(restarted);
     await group.until(async () => {
-      const view = await group.view(late);
+      const view = await group.view(restarted);
       return view.appliedIndex >= before.commitIndex;
     });
-    const done = performance.timeOrigin + performance.now();
+    const caughtUpAt = performance.timeOrigin + performance.now();
     const after = await group.view(leader);
-    const {openedAt, digest} = await group.view(late);
+    const {openedAt, digest} = await group.view(restarted);
     if (digest !== after.digest) throw new Error('the digests differ');
     return {
-      start: openedAt - from,
-      catchUp: done - openedAt,
+      start: openedAt - startedAt,
+      catchUp: caughtUpAt - openedAt,
       bytes: after.bytesOut - before.bytesOut,
     };
   } finally {
@@ -57,15 +57,20 @@
 
 async function run(): Promise<Outcome> {
   const rows: Row[] = [];
-  let base: Cost | undefined;
-  for (const missed of misses) {
+  let baseline: Cost | undefined;
+  for (const missed of missedCounts) {
     const cost = await measure(missed);
-    base ??= cost;
+    baseline ??= cost;
     const label = `${missed} missed changes`;
     rows.push(
-      compare(`process start, ${label}`, 'ms', cost.start, base.start),
-      compare(`catch up, ${label}`, 'ms', cost.catchUp, base.catchUp),
-      compare(`bytes from the leader, ${label}`, 'B', cost.bytes, base.bytes),
+      compare(`process start, ${label}`, 'ms', cost.start, baseline.start),
+      compare(`catch up, ${label}`, 'ms', cost.catchUp, baseline.catchUp),
+      compare(
+        `bytes from the leader, ${label}`,
+        'B',
+        cost.bytes,
+        baseline.bytes,
+      ),
     );
   }
   return {
@@ -79,7 +84,7 @@
 export const experiment: Experiment = {
   name: 'consensus-restart',
   about: 'time and bytes until a restarted member has caught up',
-  baseline: `${misses[0]} missed changes`,
+  baseline: `${missedCounts[0]} missed changes`,
   seconds: 30,
   run,
 };
--- a/bench/experiments/consensus-throughput.ts
+++ b/bench/experiments/consensus-throughput.ts
@@ -3,7 +3,7 @@
 import {compare} from '../experiment.js';
 import type {Experiment, Outcome, Row, RunOptions} from '../experiment.js';
 
-/** Bytes of one change, as large as a route with its policy. */
+/** Bytes of one change: about the size of a route with its policy. */
 const changeBytes = 400;
 const names = 2000;
 
@@ -15,15 +15,15 @@
 
 interface Cost extends LoadReport {
   readonly perSecond: number;
-  /** Milliseconds of processor time in the leader, for one change. */
+  /** Milliseconds of processor time per change in the leader. */
   readonly leaderTime: number;
-  /** The same in one follower. */
+  /** Milliseconds of processor time per change in one follower. */
   readonly followerTime: number;
-  /** Bytes that the leader sent, for one change. */
+  /** Bytes that the leader sent per change. */
   readonly bytes: number;
 }
 
-/** Loads the leader of a fresh group for about `seconds`. */
+/** Loads the leader of a new group for about `seconds`. */
 async function measure(variant: Variant, seconds: number): Promise<Cost> {
   const {voters, groupCommit, concurrency} = variant;
   const group = await createProcessGroup({size: voters, groupCommit});
@@ -63,32 +63,42 @@
 
 async function run(options: RunOptions): Promise<Outcome> {
   const rows: Row[] = [];
-  const part = options.seconds / 8;
+  const duration = options.seconds / 8;
   let accepted = 0;
   for (const concurrency of [1, 64]) {
     for (const voters of [3, 5]) {
-      const single = {voters, concurrency, groupCommit: false};
-      const base = await measure(single, part);
-      const cost = await measure({...single, groupCommit: true}, part);
-      accepted += base.accepted + cost.accepted;
+      const ungrouped = {voters, concurrency, groupCommit: false};
+      const baseline = await measure(ungrouped, duration);
+      const cost = await measure({...ungrouped, groupCommit: true}, duration);
+      accepted += baseline.accepted + cost.accepted;
       const label = `${voters} voters, ${concurrency} at once`;
       rows.push(
-        compare(`accepted, ${label}`, '1/s', cost.perSecond, base.perSecond),
-        compare(`time to accept p50, ${label}`, 'ms', cost.p50, base.p50),
-        compare(`time to accept p99, ${label}`, 'ms', cost.p99, base.p99),
+        compare(
+          `accepted, ${label}`,
+          '1/s',
+          cost.perSecond,
+          baseline.perSecond,
+        ),
+        compare(`time to accept p50, ${label}`, 'ms', cost.p50, baseline.p50),
+        compare(`time to accept p99, ${label}`, 'ms', cost.p99, baseline.p99),
         compare(
           `leader time a change, ${label}`,
           'ms',
           cost.leaderTime,
-          base.leaderTime,
+          baseline.leaderTime,
         ),
         compare(
           `follower time a change, ${label}`,
           'ms',
           cost.followerTime,
-          base.followerTime,
+          baseline.followerTime,
+        ),
+        compare(
+          `leader bytes a change, ${label}`,
+          'B',
+          cost.bytes,
+          baseline.bytes,
         ),
-        compare(`leader bytes a change, ${label}`, 'B', cost.bytes, base.bytes),
       );
     }
   }
@@ -96,7 +106,7 @@
     rows,
     counts: {accepted},
     notes: [
-      'processes on one machine and one disk, folders under the temporary directory, real fsync',
+      'all processes use one machine and one disk, with data folders in the temporary directory and real fsync',
     ],
   };
 }
--- a/bench/experiments/crashing-request.ts
+++ b/bench/experiments/crashing-request.ts
@@ -13,38 +13,43 @@
 import {requestCodes} from '../../src/request/messages/codes.js';
 import {createTimers} from '../../src/time/timers.js';
 
-const crash = 'crashing';
+/** A request whose path contains this word crashes its upstream. */
+const crashWord = 'crashing';
 
-/** Milliseconds after which an instance that ended is started again. */
+/** Milliseconds after which a crashed instance is started again. */
 const downTime = 2_000;
-/** Milliseconds between two of the crashing requests. */
+/** Milliseconds between two crashing requests. */
 const crashGap = 333;
-/** Milliseconds from the third end until every node is to know. */
-const knownWithin = 3_000;
-/** Other lookups a second. */
+/** Milliseconds within which every node must know of the third crash. */
+const detectionLimit = 3_000;
+/** Number of other lookups per second. */
 const rate = 100;
-/** Nodes that are killed and started again meanwhile. */
+/** Number of nodes that are killed and restarted during the run. */
 const killedNodes = 4;
 
-/** What one run gave. */
+/** Results of one run. */
 interface Figures {
+  /** Number of crashes. */
   readonly ends: number;
-  /** Ends later than `knownWithin` after the third. */
+  /** Crashes later than `detectionLimit` after the third one. */
   readonly lateEnds: number;
   readonly others: Summary;
 }
 
-/** Starts instances of crewbook again; gives the times of their ends. */
-function keepUp(deployment: Deployment, isOver: () => boolean): number[] {
+/** Restarts crashed upstreams; returns the times of the crashes. */
+function restartCrashed(
+  deployment: Deployment,
+  isOver: () => boolean,
+): number[] {
   const ends: number[] = [];
-  const follow = async (upstream: Program): Promise<void> => {
+  const watch = async (upstream: Program): Promise<void> => {
     const code = await upstream.ended();
     if (code === 0 || upstream.wasKilled()) return;
     ends.push(Date.now());
     await pause(downTime);
-    if (!isOver()) void follow(deployment.restart(upstream.name));
+    if (!isOver()) void watch(deployment.restart(upstream.name));
   };
-  for (const {upstream} of deployment.instances) void follow(upstream);
+  for (const {upstream} of deployment.instances) void watch(upstream);
   return ends;
 }
 
@@ -57,7 +62,7 @@
   }
 }
 
-/** Sends the crashing request at any node; `path` names it each time. */
+/** Sends crashing requests to random nodes; `path` returns the path of each. */
 async function sendCrashes(
   targets: readonly string[],
   duration: number,
@@ -66,7 +71,7 @@
 ): Promise<void> {
   const until = Date.now() + duration;
   for (let turn = 0; Date.now() < until; turn++) {
-    // A node that was killed takes no connection; the next one is asked.
+    // A killed node refuses connections; the next request picks a node again.
     void call(random.pick(targets), path(turn)).catch(() => undefined);
     await pause(crashGap);
   }
@@ -83,12 +88,12 @@
       {name: 'drillvault', instances: 3},
     ],
     work: 60,
-    crash,
+    crash: crashWord,
   });
   let isOver = false;
   try {
     await setUp(deployment, 'examples/agency/setup.fox');
-    const ends = keepUp(deployment, () => isOver);
+    const ends = restartCrashed(deployment, () => isOver);
     const duration = (seconds * 1000) / 2;
     const targets = deployment.instances.map(
       ({settings}) => settings.callerAddress,
@@ -111,8 +116,8 @@
       sendCrashes(targets, duration, createRandom(seed + 1), path),
       killNodes(deployment, duration / (killedNodes + 1)),
     ]);
-    const known = (ends[2] ?? Infinity) + knownWithin;
-    const lateEnds = ends.filter(at => at > known).length;
+    const detectedBy = (ends[2] ?? Infinity) + detectionLimit;
+    const lateEnds = ends.filter(at => at > detectedBy).length;
     return {ends: ends.length, lateEnds, others};
   } finally {
     isOver = true;
@@ -124,16 +129,16 @@
   return endings.whole / sent;
 }
 
-/** Refusals of requests that never ended an instance by themselves. */
-function wronglyHeld({refusals}: Summary): number {
+/** Quarantine refusals of requests that never crash an upstream. */
+function wronglyQuarantined({refusals}: Summary): number {
   return Object.entries(refusals)
     .filter(([name]) => name.includes(` ${requestCodes.quarantined.number} `))
     .reduce((sum, [, count]) => sum + count, 0);
 }
 
 async function run(options: RunOptions): Promise<Outcome> {
-  const same = await measure(options, () => `/records/${crash}`);
-  const other = await measure(options, turn => `/records/${crash}-${turn}`);
+  const same = await measure(options, () => `/records/${crashWord}`);
+  const other = await measure(options, turn => `/records/${crashWord}-${turn}`);
   return {
     rows: [
       compare('instances ended', '', same.ends, other.ends),
@@ -152,8 +157,8 @@
       compare(
         'other lookups held wrongly',
         '',
-        wronglyHeld(same.others),
-        wronglyHeld(other.others),
+        wronglyQuarantined(same.others),
+        wronglyQuarantined(other.others),
       ),
     ],
     counts: {'other lookups sent': same.others.sent},
@@ -163,7 +168,7 @@
 export const experiment: Experiment = {
   name: 'crashing-request',
   about:
-    'A lookup that ends each instance that runs it, three times a second at any of twelve nodes, four of which are killed; beside other lookups',
+    'a lookup that crashes each instance that runs it, sent three times a second to random nodes, four of which are killed meanwhile, in addition to other lookups',
   baseline: 'the same with another path each time, so that nothing is known',
   seconds: 50,
   run,
--- a/bench/experiments/distribution-codec.ts
+++ b/bench/experiments/distribution-codec.ts
@@ -22,17 +22,17 @@
   readonly version: number;
 }
 
-/** The server's cost, with the processor time of all clients. */
+/** Cost at the server, and the processor time of all clients in milliseconds. */
 interface Cost extends CodecCost {
   readonly client: number;
 }
 
 function nextMessage<T>(child: ChildProcess): Promise<T> {
   return new Promise((resolve, reject) => {
-    const end = () => reject(new Error('the codec server ended'));
-    child.once('exit', end);
+    const onExit = () => reject(new Error('the codec server ended'));
+    child.once('exit', onExit);
     child.once('message', message => {
-      child.off('exit', end);
+      child.off('exit', onExit);
       resolve(message as T);
     });
   });
@@ -74,7 +74,7 @@
   });
 }
 
-function spent(): number {
+function processorTime(): number {
   const {user, system} = process.cpuUsage();
   return (user + system) / 1000;
 }
@@ -87,14 +87,14 @@
   const setup: CodecSetup = {mode, clients, pushes, gap};
   const child = fork(path, [JSON.stringify(setup)]);
   const address = await nextMessage<string>(child);
-  const told = nextMessage<CodecCost>(child);
-  const start = spent();
+  const result = nextMessage<CodecCost>(child);
+  const start = processorTime();
   const closers =
     mode === 'trpc'
       ? openTrpc(address)
       : await openLinks(address, mode === 'records');
-  const cost = await told;
-  const client = spent() - start;
+  const cost = await result;
+  const client = processorTime() - start;
   for (const close of closers) close();
   child.disconnect();
   return {...cost, client};
@@ -104,7 +104,7 @@
   const trpc = await measure('trpc', options.seconds);
   const maps = await measure('maps', options.seconds);
   const records = await measure('records', options.seconds);
-  const each = clients * pushes;
+  const totalPushes = clients * pushes;
   const rows = [
     {name: 'MessagePack, keys in each message', cost: maps},
     {name: 'MessagePack, keys once a link', cost: records},
@@ -112,20 +112,20 @@
     compare(
       `${name}: bytes of a push and its acknowledgement`,
       'B',
-      (cost.bytesIn + cost.bytesOut) / each,
-      (trpc.bytesIn + trpc.bytesOut) / each,
+      (cost.bytesIn + cost.bytesOut) / totalPushes,
+      (trpc.bytesIn + trpc.bytesOut) / totalPushes,
     ),
     compare(
       `${name}: processor time of the source, a push`,
       'us',
-      (cost.processor * 1000) / each,
-      (trpc.processor * 1000) / each,
+      (cost.processor * 1000) / totalPushes,
+      (trpc.processor * 1000) / totalPushes,
     ),
     compare(
       `${name}: processor time of a node, a push`,
       'us',
-      (cost.client * 1000) / each,
-      (trpc.client * 1000) / each,
+      (cost.client * 1000) / totalPushes,
+      (trpc.client * 1000) / totalPushes,
     ),
   ]);
   return {
@@ -135,7 +135,7 @@
   };
 }
 
-/** Which codec carries pushes and acknowledgements. */
+/** Cost of pushes and acknowledgements by codec. */
 export const experiment: Experiment = {
   name: 'distribution-codec',
   about: 'pushes and acknowledgements over MessagePack links or trpc',
--- a/bench/experiments/distribution-herd.ts
+++ b/bench/experiments/distribution-herd.ts
@@ -11,15 +11,15 @@
 import {compare} from '../experiment.js';
 import type {Experiment, Outcome, Row, RunOptions} from '../experiment.js';
 
-/** Services in force; the size that the project is designed for. */
+/** Number of services that the project is designed for. */
 const services = 710;
 
-/** Nodes that stay in step all the while, and those that return at once. */
+/** Nodes that stay connected, and processes of nodes that reconnect together. */
 const steadyNodes = 240;
 const herdProcesses = 4;
 const nodesPerProcess = 120;
 
-/** Changes accepted while the herd returns. */
+/** Changes accepted while the herd reconnects; `gap` in milliseconds. */
 const changes = {count: 20, gap: 100};
 
 const mebibyte = 1024 * 1024;
@@ -44,13 +44,13 @@
 
 interface Figures {
   readonly name: string;
-  /** Of the nodes that were in step all the while. */
+  /** Convergence of the nodes that stayed connected. */
   readonly convergence: Convergence;
-  /** Milliseconds until the last of the herd had the newest version. */
+  /** Milliseconds until the whole herd has the latest version. */
   readonly herd: number;
   readonly isHerdSynced: boolean;
   readonly postponed: number;
-  /** Most bytes that the relay ever had in memory. */
+  /** Peak memory of the relay in bytes. */
   readonly peak: number;
 }
 
@@ -87,25 +87,25 @@
       }),
     ),
   );
-  const told = await source.ask({kind: 'changes', ...changes});
-  const last = told.changes[changes.count - 1]!.version;
+  const reply = await source.ask({kind: 'changes', ...changes});
+  const last = reply.changes[changes.count - 1]!.version;
   const isHerdSynced = await awaitHerd(herd, last);
-  const took = Date.now() - start;
+  const herdDuration = Date.now() - start;
   await awaitSynced([steady], steadyNodes, last);
   const {switches} = await steady.ask({kind: 'switches'});
   const {counts, peak} = await relay.usage();
   await stopAll([...herd, steady, relay, source]);
   return {
     name: variant.name,
-    convergence: findConvergence(told.changes, [switches], steadyNodes),
-    herd: took,
+    convergence: findConvergence(reply.changes, [switches], steadyNodes),
+    herd: herdDuration,
     isHerdSynced,
     postponed: counts!.postponed,
     peak,
   };
 }
 
-/** A herd that is not in step after this long is reported as such. */
+/** Milliseconds after which the herd is reported as not in sync. */
 const herdLimit = 25_000;
 
 function awaitHerd(
@@ -135,7 +135,7 @@
     rows: others.flatMap(one => rowsOf(one, baseline!)),
     counts,
     notes: [
-      'the herd subscribes to all services, as a node without `calls` does, and drops the states that it gets',
+      'the herd subscribes to all services, like a node without `calls`, and discards the states that it receives',
       'times of the herd include the start of its processes',
     ],
   };
@@ -162,10 +162,10 @@
   ];
 }
 
-/** What a returning herd costs an accepted change, with and without admission. */
+/** Effect of a reconnecting herd on convergence, with and without admission. */
 export const experiment: Experiment = {
   name: 'distribution-herd',
-  about: 'an accepted change while a herd of nodes returns to its relay',
+  about: 'convergence of changes while a herd of nodes reconnects to its relay',
   baseline: 'every sync served at once',
   seconds: 60,
   run,
--- a/bench/experiments/distribution-slopes.ts
+++ b/bench/experiments/distribution-slopes.ts
@@ -11,25 +11,25 @@
 import {compare} from '../experiment.js';
 import type {Experiment, Outcome, Row, RunOptions} from '../experiment.js';
 
-/** Services in force; the size that the project is designed for. */
+/** Number of services that the project is designed for. */
 const services = 710;
 
-/** Steps of the three slopes. */
+/** Measured points of the three slopes. */
 const nodeSteps = [50, 150, 300];
 const changeSteps = [0, 5, 15];
 const subscribedSteps = [1, 12, 40, 120];
 
-const ordinaryNodes = 150;
-const ordinarySubscribed = 12;
+const usualNodes = 150;
+const usualSubscribed = 12;
 
 interface Load {
   readonly nodes: number;
   readonly subscribed: number;
-  /** Changes a second. */
+  /** Changes per second. */
   readonly changes: number;
 }
 
-/** What one second of a load costs at a process. */
+/** Cost of a load at a process, per second. */
 interface Rate {
   /** Milliseconds of processor time. */
   readonly processor: number;
@@ -42,7 +42,7 @@
   readonly relay: Rate;
   /** All stand-in nodes together. */
   readonly nodes: Rate;
-  /** Bytes held at the relay and by all nodes, after a collection. */
+  /** Memory of the relay and of all nodes in bytes, after a garbage collection. */
   readonly relayMemory: number;
   readonly nodesMemory: number;
 }
@@ -65,7 +65,7 @@
   });
   const processes = [source, relay, nodes];
   const isSynced = await awaitSynced([nodes], load.nodes, 1);
-  if (!isSynced) throw new Error('the nodes did not come into step');
+  if (!isSynced) throw new Error('the nodes did not synchronize in time');
   await sleep(500);
   const [, relayMemory, nodesMemory] = await Promise.all(
     processes.map(one => one.memory()),
@@ -97,13 +97,14 @@
   }
   await sleep(Math.max(0, seconds * 1000 - (Date.now() - start)));
   const after = await usageOf(processes);
-  const took = (Date.now() - start) / 1000;
+  const elapsedSeconds = (Date.now() - start) / 1000;
   return after.map((usage, index) => {
-    const was = before[index]!;
-    const bytes = usage.bytesIn + usage.bytesOut - was.bytesIn - was.bytesOut;
+    const earlier = before[index]!;
+    const bytes =
+      usage.bytesIn + usage.bytesOut - earlier.bytesIn - earlier.bytesOut;
     return {
-      processor: (usage.processor - was.processor) / took,
-      bytes: bytes / took,
+      processor: (usage.processor - earlier.processor) / elapsedSeconds,
+      bytes: bytes / elapsedSeconds,
     };
   });
 }
@@ -115,24 +116,24 @@
 async function run(options: RunOptions): Promise<Outcome> {
   const steps = nodeSteps.length + changeSteps.length + subscribedSteps.length;
   const seconds = Math.min(4, options.seconds / steps - 1.5);
-  const ordinary = {
-    nodes: ordinaryNodes,
-    subscribed: ordinarySubscribed,
+  const usualLoad = {
+    nodes: usualNodes,
+    subscribed: usualSubscribed,
     changes: 0,
   };
   const byNodes: Figures[] = [];
   for (const nodes of nodeSteps) {
-    byNodes.push(await measure({...ordinary, nodes}, seconds, options.seed));
+    byNodes.push(await measure({...usualLoad, nodes}, seconds, options.seed));
   }
   const byChanges: Figures[] = [];
   for (const changes of changeSteps) {
     byChanges.push(
-      await measure({...ordinary, changes}, seconds, options.seed),
+      await measure({...usualLoad, changes}, seconds, options.seed),
     );
   }
   const bySubscribed: Figures[] = [];
   for (const subscribed of subscribedSteps) {
-    const load = {...ordinary, subscribed, changes: 5};
+    const load = {...usualLoad, subscribed, changes: 5};
     bySubscribed.push(await measure(load, seconds, options.seed));
   }
   return {
@@ -149,7 +150,7 @@
   };
 }
 
-/** A slope, set against its intercept. */
+/** A row with a slope, compared to its intercept. */
 function slope(
   figure: string,
   unit: string,
@@ -181,7 +182,7 @@
   const changes = (load: Load) => load.changes;
   const row = (what: string, unit: string, y: (one: Figures) => number) =>
     slope(`a change: ${what}`, unit, figures, changes, y);
-  const share = (value: number) => value / ordinaryNodes;
+  const share = (value: number) => value / usualNodes;
   return [
     row('relay processor', 'ms', one => one.relay.processor),
     row('relay bytes', 'B', one => one.relay.bytes),
@@ -196,7 +197,7 @@
   const subscribed = (load: Load) => load.subscribed;
   const row = (what: string, unit: string, y: (one: Figures) => number) =>
     slope(`a subscribed service: ${what}`, unit, figures, subscribed, y);
-  const share = (value: number) => value / ordinaryNodes;
+  const share = (value: number) => value / usualNodes;
   return [
     row('one node memory', 'B', one => share(one.nodesMemory)),
     row('relay memory a node', 'B', one => share(one.relayMemory)),
@@ -207,7 +208,7 @@
   ];
 }
 
-/** Slopes from which the figures at size are worked out. */
+/** Slopes from which the cost of a deployment of any size is computed. */
 export const experiment: Experiment = {
   name: 'distribution-slopes',
   about: 'cost of a node, a change and a subscribed service, at each role',
--- a/bench/experiments/distribution-sync.ts
+++ b/bench/experiments/distribution-sync.ts
@@ -12,41 +12,48 @@
 const services = 710;
 const nodes = 20;
 
-/** Changes that pass the nodes by while they are away. */
+/** Numbers of changes that the nodes miss while they are disconnected. */
 const missedSteps = [1, 10, 100, 700];
 
 interface Figures {
   readonly missed: number;
-  /** Bytes of one node until it is in step again. */
+  /** Bytes per node until it has the latest version again. */
   readonly bytes: number;
-  /** Milliseconds of the source's processor time for one node. */
+  /** Milliseconds of the source's processor time per node. */
   readonly processor: number;
 }
 
-/** `ringLength` decides the way: a long ring gives deltas, a short one not. */
-async function measureReturns(
+/**
+ * Measures nodes that reconnect. With a long ring of recent changes they receive
+ * deltas, with a short one the sections that differ.
+ */
+async function measureReconnects(
   ringLength: number,
   seed: number,
 ): Promise<Figures[]> {
   const source = await startHome({services, ringLength, seed});
   const homes = [{address: source.address}];
   const shared = {homes, nodes, services, seed};
-  const one = await startNodes({name: 'nodes', subscribed: 0, ...shared});
-  await awaitSynced([one], nodes, 1);
+  const nodeProcess = await startNodes({
+    name: 'nodes',
+    subscribed: 0,
+    ...shared,
+  });
+  await awaitSynced([nodeProcess], nodes, 1);
   const figures: Figures[] = [];
   let version = 1;
   for (const missed of missedSteps) {
-    await one.ask({kind: 'away', isAway: true});
+    await nodeProcess.ask({kind: 'away', isAway: true});
     await sleep(50);
     await source.ask({kind: 'changes', count: missed, gap: 0});
     version += missed;
     figures.push(
-      await spend(missed, source, one, version, async () => {
-        await one.ask({kind: 'away', isAway: false});
+      await measureSync(missed, source, nodeProcess, version, async () => {
+        await nodeProcess.ask({kind: 'away', isAway: false});
       }),
     );
   }
-  await stopAll([one, source]);
+  await stopAll([nodeProcess, source]);
   return figures;
 }
 
@@ -54,27 +61,31 @@
   const source = await startHome({services, seed});
   const homes = [{address: source.address}];
   const shared = {homes, nodes, services, seed};
-  const one = await startNodes({name: 'nodes', subscribed: 0, ...shared});
-  await awaitSynced([one], nodes, 1);
-  const figures = await spend(0, source, one, 1, async () => {
-    await one.ask({kind: 'drop'});
+  const nodeProcess = await startNodes({
+    name: 'nodes',
+    subscribed: 0,
+    ...shared,
+  });
+  await awaitSynced([nodeProcess], nodes, 1);
+  const figures = await measureSync(0, source, nodeProcess, 1, async () => {
+    await nodeProcess.ask({kind: 'drop'});
   });
-  await stopAll([one, source]);
+  await stopAll([nodeProcess, source]);
   return figures;
 }
 
-async function spend(
+async function measureSync(
   missed: number,
   source: StandInProcess,
-  one: StandInProcess,
+  nodeProcess: StandInProcess,
   version: number,
-  back: () => Promise<void>,
+  reconnect: () => Promise<void>,
 ): Promise<Figures> {
-  const nodesBefore = await one.usage();
+  const nodesBefore = await nodeProcess.usage();
   const sourceBefore = await source.usage();
-  await back();
-  await awaitSynced([one], nodes, version, 12_000);
-  const nodesAfter = await one.usage();
+  await reconnect();
+  await awaitSynced([nodeProcess], nodes, version, 12_000);
+  const nodesAfter = await nodeProcess.usage();
   const sourceAfter = await source.usage();
   const bytes =
     nodesAfter.bytesIn +
@@ -87,32 +98,32 @@
 
 async function run(options: RunOptions): Promise<Outcome> {
   const snapshot = await measureSnapshot(options.seed);
-  const deltas = await measureReturns(1024, options.seed);
-  const comparisons = await measureReturns(1, options.seed);
+  const deltas = await measureReconnects(1024, options.seed);
+  const comparisons = await measureReconnects(1, options.seed);
   return {
     rows: [
       ...deltas.flatMap(one => rowsOf('delta', one, snapshot)),
       ...comparisons.flatMap(one => rowsOf('sections', one, snapshot)),
     ],
     counts: {services, nodes},
-    notes: ['with one change missed the short ring still reaches back'],
+    notes: ['with one missed change the short ring still gives a delta'],
   };
 }
 
-function rowsOf(way: string, one: Figures, snapshot: Figures): Row[] {
-  const at = `${way}, ${one.missed} changes missed:`;
+function rowsOf(way: string, figures: Figures, snapshot: Figures): Row[] {
+  const at = `${way}, ${figures.missed} changes missed:`;
   return [
-    compare(`${at} bytes of a node`, 'B', one.bytes, snapshot.bytes),
+    compare(`${at} bytes of a node`, 'B', figures.bytes, snapshot.bytes),
     compare(
       `${at} source processor of a node`,
       'ms',
-      one.processor,
+      figures.processor,
       snapshot.processor,
     ),
   ];
 }
 
-/** What bringing a node back into step costs, by way and by what it missed. */
+/** Cost of synchronizing a node, by method and number of missed changes. */
 export const experiment: Experiment = {
   name: 'distribution-sync',
   about: 'delta, differing sections and snapshot after missed changes',
--- a/bench/experiments/distribution-window.ts
+++ b/bench/experiments/distribution-window.ts
@@ -11,7 +11,7 @@
 import {compare} from '../experiment.js';
 import type {Experiment, Outcome, Row, RunOptions} from '../experiment.js';
 
-/** Batching windows in milliseconds at control and relay. */
+/** Batching windows at control and relays in milliseconds. */
 interface Windows {
   readonly control: number;
   readonly relay: number;
@@ -31,7 +31,7 @@
   {control: 1000, relay: 1000},
 ];
 
-/** A burst of changes, as a script of an operator makes it. */
+/** A burst of changes, as from an operator's script; `gap` in milliseconds. */
 const burst = {count: 100, gap: 20};
 
 const relays = 2;
@@ -42,7 +42,7 @@
 interface Figures {
   readonly windows: Windows;
   readonly convergence: Convergence;
-  /** Bytes at the source's links, and at the nodes', for each change. */
+  /** Bytes per change on the source's links and on the links of one node. */
   readonly source: number;
   readonly node: number;
 }
@@ -86,8 +86,10 @@
     nodes.map(one => one.ask({kind: 'switches'})),
   );
   await stopAll([...nodes, ...homes, source]);
-  const spent = after.map((usage, index) => bytesOf(usage, before[index]!));
-  const [atSource, ...atNodes] = spent;
+  const bytesByProcess = after.map((usage, index) =>
+    bytesOf(usage, before[index]!),
+  );
+  const [atSource, ...atNodes] = bytesByProcess;
   const sum = atNodes.reduce((left, right) => left + right, 0);
   return {
     windows,
@@ -106,8 +108,8 @@
 }
 
 function bytesOf(after: Usage, before: Usage): number {
-  const spent = (usage: Usage) => usage.bytesIn + usage.bytesOut;
-  return spent(after) - spent(before);
+  const totalBytes = (usage: Usage) => usage.bytesIn + usage.bytesOut;
+  return totalBytes(after) - totalBytes(before);
 }
 
 async function run(options: RunOptions): Promise<Outcome> {
@@ -141,7 +143,7 @@
       changes: burst.count,
       'missing pairs of node and change': missing,
     },
-    notes: ['bytes include heartbeats of the time that the burst takes'],
+    notes: ['the bytes include the heartbeats during the burst'],
   };
 }
 
@@ -158,18 +160,21 @@
   ];
 }
 
-/** The curve of the windows that are at control alone. */
+/** The curve over the windows at control, without a window at the relays. */
 function curve(
   name: string,
   figures: readonly Figures[],
   pick: (convergence: Convergence) => number,
 ) {
-  const alone = figures.filter(one => one.windows.relay === 0);
-  const points = alone.map(one => ({x: one.node, y: pick(one.convergence)}));
+  const controlOnly = figures.filter(one => one.windows.relay === 0);
+  const points = controlOnly.map(one => ({
+    x: one.node,
+    y: pick(one.convergence),
+  }));
   return {name, points};
 }
 
-/** The curve from which each deployment's batching window is chosen. */
+/** Convergence time and bytes by batching window; a basis for choosing the window. */
 export const experiment: Experiment = {
   name: 'distribution-window',
   about: 'convergence time against control bytes over batching windows',
--- a/bench/experiments/endpoints-merge.ts
+++ b/bench/experiments/endpoints-merge.ts
@@ -10,18 +10,20 @@
 import type {Experiment, Outcome, RunOptions} from '../experiment.js';
 
 /**
- * Bytes of a merge: two homes of two regions, cut off from each other for ten
- * minutes of restarts on both sides, then linked again. Counted on a network
- * in memory, with time moved by hand; nothing here depends on the machine.
+ * Bytes of a merge: the link between the homes of two regions is down for ten
+ * minutes while instances restart on both sides, then it is restored. The
+ * experiment uses an in-memory network and fake timers, so its results do not
+ * depend on the machine.
  */
 
 const instances = 3350;
 const services = 710;
-const cut = 600_000;
+/** Duration of the partition in milliseconds. */
+const partition = 600_000;
 
 interface Merge {
   readonly bytes: number;
-  /** Milliseconds from the link until both tables are the same. */
+  /** Milliseconds from the new link until both tables are equal. */
   readonly duration: number;
 }
 
@@ -43,7 +45,7 @@
   );
 
   async function link(): Promise<void> {
-    const far = await network.from('muscat').listen('peers', opened => {
+    const listener = await network.from('muscat').listen('peers', opened => {
       links.push(opened);
       homes[1]!.peer(createChannels(opened));
     });
@@ -52,31 +54,32 @@
     const opened = await opening;
     links.push(opened);
     homes[0]!.peer(createChannels(opened));
-    await far.close();
+    await listener.close();
   }
 
   await link();
   timers.advance(5000);
   for (const one of links.splice(0)) one.close();
   timers.advance(1000);
-  for (const crowd of crowds) void crowd.churn(restarts, cut);
-  timers.advance(cut + 1000);
-  const begun = timers.now();
+  for (const crowd of crowds) void crowd.churn(restarts, partition);
+  timers.advance(partition + 1000);
+  const startedAt = timers.now();
   await link();
   while (describe(homes[0]!) !== describe(homes[1]!)) {
     timers.advance(100);
-    if (timers.now() - begun > 60_000) throw new Error('no merge in a minute');
+    if (timers.now() - startedAt > 60_000)
+      throw new Error('the tables did not merge within a minute');
   }
   for (const home of homes) home.close();
   return {
     bytes: links.reduce((sum, one) => sum + one.bytesOut, 0),
-    duration: timers.now() - begun,
+    duration: timers.now() - startedAt,
   };
 }
 
 async function run(options: RunOptions): Promise<Outcome> {
   void options;
-  // Everything restarted: what sending the whole tables would take.
+  // With all instances restarted, the merge sends the complete tables.
   const whole = await merge(instances);
   const usual = await merge(5);
   const busy = await merge(100);
@@ -87,7 +90,9 @@
       compare('merge after 200, time', 'ms', busy.duration, whole.duration),
     ],
     counts: {instances: 2 * instances, services},
-    notes: ['both ways between one pair of homes, as packed, without framing'],
+    notes: [
+      'bytes in both directions between one pair of homes, as encoded, without framing',
+    ],
   };
 }
 
--- a/bench/experiments/endpoints-size.ts
+++ b/bench/experiments/endpoints-size.ts
@@ -5,16 +5,16 @@
 import type {Experiment, Outcome, RunOptions} from '../experiment.js';
 
 /**
- * The cost of one home, by slopes: for each node linked to it, each instance
- * that other homes hold, each other home, each restart.
+ * The cost of one home as slopes: per linked node, per instance of other homes,
+ * per other home, and per restart.
  */
 
 interface Variant {
   readonly name: string;
   readonly idle: ResourceUsage;
-  /** One home's and the nodes' cost of restarts, above idle. */
+  /** Usage while instances restart at a constant rate. */
   readonly churn?: ResourceUsage;
-  /** 1/7 of all instances restart within a second. */
+  /** Usage while 1/7 of all instances restarts within a second. */
   readonly mass?: ResourceUsage;
 }
 
@@ -22,7 +22,10 @@
 const calls = 10;
 const restartsPerSecond = 20;
 const massRestarts = 957;
-/** What else runs on the machine only adds, so the least of these is taken. */
+/**
+ * Number of idle measurements; the smallest counts, since other load on the
+ * machine can only add to a measurement.
+ */
 const windows = 4;
 
 const pause = (milliseconds: number) =>
@@ -48,8 +51,8 @@
   await pause(2000);
   let idle: ResourceUsage | undefined;
   for (let window = 0; window < windows; window++) {
-    const spent = await deployment.measureUsage(() => pause(duration));
-    if (idle === undefined || rate(spent) < rate(idle)) idle = spent;
+    const usage = await deployment.measureUsage(() => pause(duration));
+    if (idle === undefined || rate(usage) < rate(idle)) idle = usage;
   }
   let churn: ResourceUsage | undefined;
   let mass: ResourceUsage | undefined;
@@ -67,7 +70,7 @@
   return {name, idle: idle!, churn, mass};
 }
 
-const rate = (spent: ResourceUsage) => spent.first.cpu / spent.seconds;
+const rate = (usage: ResourceUsage) => usage.first.cpu / usage.seconds;
 
 const cpuPerSecond = ({idle}: Variant) => rate(idle);
 
@@ -85,8 +88,8 @@
   const nodeMemory = (nodes.idle.first.memory - few.idle.first.memory) / 210;
   const churn = table.churn!;
   const restarts = churn.seconds * restartsPerSecond;
-  const above = (spent: number, idle: number) =>
-    (spent - (idle / table.idle.seconds) * churn.seconds) / restarts;
+  const perRestart = (usage: number, idle: number) =>
+    (usage - (idle / table.idle.seconds) * churn.seconds) / restarts;
   return {
     rows: [
       {figure: 'home CPU per node linked', unit: 'us/s', value: nodeSlope},
@@ -111,7 +114,7 @@
       {
         figure: 'home CPU per restart elsewhere',
         unit: 'us',
-        value: above(churn.first.cpu, table.idle.first.cpu),
+        value: perRestart(churn.first.cpu, table.idle.first.cpu),
       },
       {
         figure: 'home CPU, 957 restarts in a second, for each',
@@ -121,12 +124,12 @@
       {
         figure: 'bytes from the other home per restart',
         unit: 'B',
-        value: above(churn.first.peerBytes, table.idle.first.peerBytes),
+        value: perRestart(churn.first.peerBytes, table.idle.first.peerBytes),
       },
       {
         figure: 'bytes to all 280 nodes per restart',
         unit: 'B',
-        value: above(churn.nodeBytes, table.idle.nodeBytes),
+        value: perRestart(churn.nodeBytes, table.idle.nodeBytes),
       },
       {
         figure: 'node bytes, idle',
--- a/bench/experiments/endpoints-spread.ts
+++ b/bench/experiments/endpoints-spread.ts
@@ -3,17 +3,17 @@
 import {compare} from '../experiment.js';
 import type {Experiment, Outcome, Row, RunOptions} from '../experiment.js';
 
-/** How soon nodes know of a change, and what knowing costs. */
+/** Time until nodes know of a change of an instance, and its cost. */
 
 interface Variant {
-  /** Microseconds of processor time for each node and second, idle. */
+  /** Microseconds of processor time per node and second while idle. */
   readonly homeIdle: number;
   readonly nodeIdle: number;
-  /** Bytes for each node and second, idle. */
+  /** Bytes per node and second, and per home and second, while idle. */
   readonly nodeBytes: number;
   readonly peerBytes: number;
   readonly drain: EventTimes;
-  /** The same for each drain and its end, above idle. */
+  /** Cost of a drain and its end, without the idle cost. */
   readonly drainHomeCpu: number;
   readonly drainBytes: number;
   readonly crash: EventTimes;
@@ -98,12 +98,16 @@
   ]!;
 }
 
-function timeRows(name: string, own: EventTimes, naive: EventTimes): Row[] {
+function timeRows(
+  name: string,
+  registry: EventTimes,
+  naive: EventTimes,
+): Row[] {
   const row = (label: string, share: number) =>
     compare(
       `${name} known, ${label}`,
       'ms',
-      quantile(own.times, share),
+      quantile(registry.times, share),
       quantile(naive.times, share),
     );
   return [row('p50', 0.5), row('p99', 0.99), row('last node', 1)];
@@ -111,14 +115,14 @@
 
 async function run(options: RunOptions): Promise<Outcome> {
   const naive = await measure('naive', options);
-  const own = await measure('registry', options);
+  const registry = await measure('registry', options);
   const row = (
     figure: string,
     unit: string,
     key: {
       [K in keyof Variant]: Variant[K] extends number ? K : never;
     }[keyof Variant],
-  ) => compare(figure, unit, own[key], naive[key]);
+  ) => compare(figure, unit, registry[key], naive[key]);
   return {
     rows: [
       row('home CPU, idle, per node and second', 'us', 'homeIdle'),
@@ -129,16 +133,19 @@
       row('bytes per drain and its end', 'B', 'drainBytes'),
       row('home CPU per restart of 1/7 at once', 'us', 'massHomeCpu'),
       row('node bytes per restart of 1/7 at once', 'B', 'massBytes'),
-      ...timeRows('drain', own.drain, naive.drain),
-      ...timeRows('crash', own.crash, naive.crash),
-      ...timeRows('silence', own.hang, naive.hang),
-      ...timeRows('restart of 1/7', own.mass, naive.mass),
+      ...timeRows('drain', registry.drain, naive.drain),
+      ...timeRows('crash', registry.crash, naive.crash),
+      ...timeRows('silence', registry.hang, naive.hang),
+      ...timeRows('restart of 1/7', registry.mass, naive.mass),
     ],
     counts: {
       ...size,
-      'drains known': own.drain.times.length,
+      'drains known': registry.drain.times.length,
       missed:
-        own.drain.missed + own.crash.missed + own.hang.missed + own.mass.missed,
+        registry.drain.missed +
+        registry.crash.missed +
+        registry.hang.missed +
+        registry.mass.missed,
       'missed by the baseline':
         naive.drain.missed +
         naive.crash.missed +
--- a/bench/experiments/memory.ts
+++ b/bench/experiments/memory.ts
@@ -11,14 +11,14 @@
 import {readMemory} from '../memory.js';
 import type {Memory} from '../memory.js';
 
-/** Calls a second that a node of the designed size takes. */
+/** Calls per second of a node at the size that the project is designed for. */
 const nodeRate = 50;
 
 async function pause(milliseconds: number): Promise<void> {
   await new Promise(resolve => setTimeout(resolve, milliseconds));
 }
 
-/** A process of Node.js that has loaded nothing and does nothing. */
+/** Measures a Node.js process that loads no modules and does nothing. */
 async function measureBare(): Promise<Memory> {
   const child = spawn(process.execPath, ['-e', 'setInterval(() => {}, 1000)']);
   await pause(1000);
@@ -34,7 +34,7 @@
   readonly calls: number;
 }
 
-/** `binary` is empty for the compiled modules. */
+/** Measures the program; an empty `binary` stands for the compiled modules. */
 async function measureProgram(
   binary: string,
   options: RunOptions,
@@ -45,10 +45,10 @@
   try {
     await setUp(deployment, 'examples/agency/setup.fox');
     await pause(2000);
-    const [place] = deployment.instances;
-    const idle = readMemory(place!.node.id);
+    const [instance] = deployment.instances;
+    const idle = readMemory(instance!.node.id);
     const summary = await runLoad({
-      targets: [place!.settings.callerAddress],
+      targets: [instance!.settings.callerAddress],
       rate: nodeRate,
       count: nodeRate * options.seconds,
       duration: (options.seconds / 2) * 1000,
@@ -62,7 +62,7 @@
     });
     return {
       idle,
-      loaded: readMemory(place!.node.id),
+      loaded: readMemory(instance!.node.id),
       control: readMemory(deployment.controls[0]!.id),
       calls: summary.endings.whole,
     };
--- a/bench/experiments/metrics.ts
+++ b/bench/experiments/metrics.ts
@@ -7,22 +7,22 @@
 import {compare} from '../experiment.js';
 import type {Experiment, Outcome, RunOptions} from '../experiment.js';
 
-/** Services of the size that the project is designed for. */
+/** Number of services that the project is designed for. */
 const services = 710;
 
 const batch = 10_000;
 
 interface Cost {
-  /** Microseconds of one report. */
+  /** Microseconds per report. */
   readonly report: number;
-  /** Milliseconds that one scrape takes of the loop. */
+  /** Milliseconds for which one scrape blocks the event loop. */
   readonly scrape: number;
   /** Bytes of one scrape. */
   readonly bytes: number;
   readonly reports: number;
 }
 
-/** Reports for half of the time given, then scrapes for the other half. */
+/** Reports for half of the given time, then scrapes for the other half. */
 async function measure(routeLimit: number, options: RunOptions): Promise<Cost> {
   const random = createRandom(options.seed);
   const registry = new Registry();
@@ -83,7 +83,7 @@
 export const experiment: Experiment = {
   name: 'metrics',
   about:
-    'cost of metrics on a node that meets 710 services, routes bounded at 64',
+    'cost of metrics on a node that calls 710 services, with routes limited to 64',
   baseline: 'a series for every route',
   seconds: 8,
   run,
--- a/bench/experiments/node-cost.ts
+++ b/bench/experiments/node-cost.ts
@@ -12,32 +12,32 @@
 import type {Experiment, Outcome, Row, RunOptions} from '../experiment.js';
 import {readMemory} from '../memory.js';
 
-/** Services of the size that the project is designed for. */
+/** Number of services that the project is designed for. */
 const services = 710;
 
-/** Routes of each of them. */
+/** Routes per service. */
 const routes = 3;
 
-/** Ticks of the kernel's processor clock in a second. */
+/** Ticks per second of the processor times in /proc. */
 const ticks = 100;
 
-/** One look at a process. */
-interface Look {
+/** Usage counters of a process at one time. */
+interface Sample {
   readonly time: number;
-  /** Milliseconds of processor time since its start. */
+  /** Milliseconds of processor time since the process start. */
   readonly processor: number;
-  /** Bytes on links between own processes since its start, by direction. */
+  /** Bytes on links to other foxbarrow processes since the process start. */
   readonly received: number;
   readonly sent: number;
-  /** Megabytes of its own. */
+  /** Private memory in megabytes. */
   readonly memory: number;
 }
 
-/** What a process spent between two looks. */
-interface Spent {
-  /** Milliseconds of processor time a second: tenths of a percent of a core. */
+/** Usage of a process between two samples. */
+interface Usage {
+  /** Milliseconds of processor time per second: 1 is 0.1 % of a core. */
   readonly processor: number;
-  /** Bytes a second. */
+  /** Bytes per second. */
   readonly received: number;
   readonly sent: number;
 }
@@ -46,7 +46,7 @@
   await new Promise(resolve => setTimeout(resolve, milliseconds));
 }
 
-async function look(pid: number, admin: string): Promise<Look> {
+async function readSample(pid: number, admin: string): Promise<Sample> {
   const stat = readFileSync(`/proc/${pid}/stat`, 'utf8');
   const fields = stat.slice(stat.lastIndexOf(')') + 2).split(' ');
   const used = Number(fields[11]) + Number(fields[12]);
@@ -65,7 +65,7 @@
   };
 }
 
-function spend(before: Look, after: Look): Spent {
+function usageBetween(before: Sample, after: Sample): Usage {
   const seconds = (after.time - before.time) / 1000;
   return {
     processor: (after.processor - before.processor) / seconds,
@@ -82,10 +82,11 @@
     sequence: ++sequence,
     edits,
   });
-  if (!reply.ok || reply.value.code !== 1000) throw new Error('not accepted');
+  if (!reply.ok || reply.value.code !== 1000)
+    throw new Error('the change was not accepted');
 }
 
-/** Puts services one by one, each with its routes. */
+/** Adds the services one by one, each with its routes. */
 async function fill(client: OperatorClient): Promise<void> {
   for (let number = 0; number < services; number++) {
     const name = `service-${number}`;
@@ -115,13 +116,13 @@
 }
 
 interface Figures {
-  readonly idle: Spent;
-  readonly controlIdle: Spent;
-  readonly changing: Spent;
-  readonly controlChanging: Spent;
-  /** Changes a second while changing. */
+  readonly idle: Usage;
+  readonly controlIdle: Usage;
+  readonly changing: Usage;
+  readonly controlChanging: Usage;
+  /** Changes per second during the change phase. */
   readonly rate: number;
-  /** Megabytes before and after the 710 services, and of control after. */
+  /** Megabytes of a node before and after the 710 services, and of control after. */
   readonly small: number;
   readonly large: number;
   readonly control: number;
@@ -132,31 +133,32 @@
   options: RunOptions,
 ): Promise<Figures> {
   const leader = await findLeader(deployment);
-  const place = deployment.instances[0]!;
-  const node = () => look(place.node.id, place.settings.adminAddress);
+  const instance = deployment.instances[0]!;
+  const node = () =>
+    readSample(instance.node.id, instance.settings.adminAddress);
   const control = () =>
-    look(
+    readSample(
       deployment.controls[leader]!.id,
       deployment.controlSettings[leader]!.adminAddress,
     );
   await pause(2000);
-  const part = (options.seconds * 1000) / 4;
+  const duration = (options.seconds * 1000) / 4;
   const [nodeStart, controlStart] = [await node(), await control()];
-  await pause(part);
+  await pause(duration);
   const [nodeIdle, controlIdle] = [await node(), await control()];
 
   const client = connectOperator(deployment);
-  const started = Date.now();
+  const startedAt = Date.now();
   await fill(client);
   await pause(1500);
   const [nodeEnd, controlEnd] = [await node(), await control()];
-  const rate = services / ((Date.now() - started) / 1000);
+  const rate = services / ((Date.now() - startedAt) / 1000);
   await client.close();
   return {
-    idle: spend(nodeStart, nodeIdle),
-    controlIdle: spend(controlStart, controlIdle),
-    changing: spend(nodeIdle, nodeEnd),
-    controlChanging: spend(controlIdle, controlEnd),
+    idle: usageBetween(nodeStart, nodeIdle),
+    controlIdle: usageBetween(controlStart, controlIdle),
+    changing: usageBetween(nodeIdle, nodeEnd),
+    controlChanging: usageBetween(controlIdle, controlEnd),
     rate,
     small: nodeIdle.memory,
     large: nodeEnd.memory,
@@ -181,7 +183,7 @@
 
 function describe(name: string, figures: Figures): Row[] {
   const {idle, changing, rate} = figures;
-  const perChange = (key: keyof Spent) =>
+  const perChange = (key: keyof Usage) =>
     Math.max(0, changing[key] - idle[key]) / rate;
   return [
     {figure: `${name}: idle processor`, unit: 'ms/s', value: idle.processor},
@@ -227,8 +229,8 @@
       'changes a second, one': Math.round(one.rate),
     },
     notes: [
-      'a change puts one service with three routes; 710 of them one by one',
-      'own memory: after 710 services against before them',
+      'a change adds one service with three routes; 710 changes, one by one',
+      'own memory: after adding 710 services, compared to before',
     ],
   };
 }
@@ -236,7 +238,7 @@
 export const experiment: Experiment = {
   name: 'node-cost',
   about:
-    'what control costs a node: processor, bytes, memory, idle and a change',
+    'processor time, bytes and memory of a node, while idle and per change',
   baseline: 'the same node before the 710 services',
   seconds: 40,
   run,
--- a/bench/experiments/request-balance.ts
+++ b/bench/experiments/request-balance.ts
@@ -1,6 +1,7 @@
 /**
- * Balancing rules at the agency's size: crewbook's nine instances of ten slots
- * behind their gates, thirty entries. Decisions only, on timers moved by hand.
+ * Balancing rules at the size of the agency deployment: nine crewbook instances
+ * of ten slots behind their gates, and thirty entries. The experiment runs only
+ * the decisions, on fake timers.
  */
 import {createAdmission} from '../../src/request/decisions/admission.js';
 import type {Admission} from '../../src/request/decisions/admission.js';
@@ -26,37 +27,37 @@
 import {compare} from '../experiment.js';
 import {benchAnnouncement} from '../requests/processes.js';
 
-/** A rule and what goes with it. */
+/** A balancing rule with its parameters. */
 interface Rule {
   readonly name: string;
   readonly create: (random: Random) => Balancer;
-  /** Milliseconds in which a gate's word on its load ages; 0 to ignore it. */
+  /** Milliseconds in which a reported gate load loses its weight; 0 ignores it. */
   readonly loadAge: number;
-  /** Busyness up to which the own failure domain goes first. */
+  /** Utilization up to which instances of the own failure domain are preferred. */
   readonly localLimit: number;
 }
 
-/** What an instance suffers. */
-interface Trouble {
+/** A fault of the first instance. */
+interface Fault {
   readonly name: string;
-  /** Times as long that the first instance's work takes. */
+  /** Factor on the duration of the first instance's work. */
   readonly slowness: number;
-  /** Share of work that the first instance fails at once. */
+  /** Share of the work that fails immediately at the first instance. */
   readonly failing: number;
 }
 
 const instanceCount = 9;
-/** Entries that call the service: today's order, and the letter's. */
+/** Entries that call the service: at the agency, and at the design size. */
 const entryCounts = [30, 300];
 const slots = 10;
 const work = 40;
 const deadline = 1_000;
-/** Milliseconds one way, within a failure domain and between two. */
-const near = 0.1;
-const far = 1;
+/** One-way delays in milliseconds, within and between failure domains. */
+const localDelay = 0.1;
+const remoteDelay = 1;
 const domains = ['hall-a', 'hall-b', 'hall-c'];
 const loads = [0.7, 0.9];
-/** Milliseconds of the model's time that each point covers, per second asked. */
+/** Simulated milliseconds per point and second of the run option. */
 const modelTime = 2_000;
 
 const powerOfTwo: Rule = {
@@ -90,7 +91,7 @@
     localLimit: 0.7,
   },
 ];
-const troubles: readonly Trouble[] = [
+const faults: readonly Fault[] = [
   {name: 'all well', slowness: 1, failing: 0},
   {name: 'one 5 times slower', slowness: 5, failing: 0},
   {name: 'one failing fast', slowness: 1, failing: 1},
@@ -105,46 +106,51 @@
   quarantines: new Map(),
 } as unknown as Configuration;
 
-/** What is varied besides the rule. */
+/** The parameters of one measured point, other than the rule. */
 interface Point {
   readonly entries: number;
-  readonly trouble: Trouble;
-  /** Offered work over the capacity of all instances. */
+  readonly fault: Fault;
+  /** Offered work divided by the capacity of all instances. */
   readonly load: number;
 }
 
 interface Result {
   readonly mean: number;
   readonly p99: number;
-  /** Share of the calls that were refused or failed. */
+  /** Share of calls that were refused or failed. */
   readonly lost: number;
 }
 
 async function run({seed, seconds}: RunOptions): Promise<Outcome> {
   const rows: Row[] = [];
   const points = entryCounts.flatMap(entries =>
-    troubles.flatMap(trouble => loads.map(load => ({entries, trouble, load}))),
+    faults.flatMap(fault => loads.map(load => ({entries, fault, load}))),
   );
   for (const point of points) {
-    const {entries, trouble, load} = point;
+    const {entries, fault, load} = point;
     const results = rules.map(rule =>
-      drive(rule, point, seconds * modelTime, seed),
+      simulate(rule, point, seconds * modelTime, seed),
     );
-    const base = results[0]!;
+    const baseline = results[0]!;
     rules.forEach((rule, index) => {
-      const at = `${entries} entries, ${trouble.name}, ${load}x, ${rule.name}`;
+      const at = `${entries} entries, ${fault.name}, ${load}x, ${rule.name}`;
       const {mean, p99, lost} = results[index]!;
-      rows.push(compare(`mean: ${at}`, 'ms', mean, base.mean));
-      rows.push(compare(`p99: ${at}`, 'ms', p99, base.p99));
+      rows.push(compare(`mean: ${at}`, 'ms', mean, baseline.mean));
+      rows.push(compare(`p99: ${at}`, 'ms', p99, baseline.p99));
       rows.push({figure: `lost: ${at}`, unit: 'share', value: lost});
     });
   }
-  return {rows, notes: ['decisions on fake timers; no machine time in it']};
+  return {
+    rows,
+    notes: [
+      'decisions on fake timers; the results do not depend on the machine',
+    ],
+  };
 }
 
-function drive(
+function simulate(
   rule: Rule,
-  {entries: entryCount, trouble, load}: Point,
+  {entries: entryCount, fault, load}: Point,
   duration: number,
   seed: number,
 ): Result {
@@ -163,7 +169,7 @@
     failureDomain,
     peers: createEntryPeers(rule, failureDomain, announcements, timers, random),
   }));
-  const taken: number[] = [];
+  const latencies: number[] = [];
   let offered = 0;
   let lost = 0;
 
@@ -171,10 +177,11 @@
     const entry = random.pick(entries);
     const peer = entry.peers.choose('stock-desk', configuration, new Set())!;
     const {instance, failureDomain} = peer.announcement;
-    const oneWay = failureDomain === entry.failureDomain ? near : far;
-    const since = timers.now();
+    const oneWay =
+      failureDomain === entry.failureDomain ? localDelay : remoteDelay;
+    const startedAt = timers.now();
     const gate = gates.get(instance)!;
-    const isTroubled = instance === announcements[0]!.instance;
+    const isFaulty = instance === announcements[0]!.instance;
     offered++;
     peer.began();
     const answer = (code: Code | undefined, status: number) =>
@@ -182,19 +189,19 @@
         if (rule.loadAge > 0) peer.loaded(gate.load);
         peer.ended(code, status);
         if (code === undefined && status === 200)
-          taken.push(timers.now() - since);
+          latencies.push(timers.now() - startedAt);
         else lost++;
       });
     timers.after(oneWay, () => {
-      if (isTroubled && random.fraction() < trouble.failing) {
+      if (isFaulty && random.fraction() < fault.failing) {
         answer(undefined, 500);
         return;
       }
-      const factor = isTroubled ? trouble.slowness : 1;
+      const factor = isFaulty ? fault.slowness : 1;
       const duration = exponential(work * factor, random);
       gate.offer({
         priority: 'normal',
-        deadline: since + deadline,
+        deadline: startedAt + deadline,
         refuse: () => answer(requestCodes.full, 503),
         start: () =>
           timers.after(duration, () => {
@@ -206,16 +213,20 @@
   }
 
   const gap = work / (slots * instanceCount) / load;
-  for (let due = 0; due < duration; due += exponential(gap, random)) {
-    timers.advance(Math.max(0, due - timers.now()));
+  for (
+    let scheduledAt = 0;
+    scheduledAt < duration;
+    scheduledAt += exponential(gap, random)
+  ) {
+    timers.advance(Math.max(0, scheduledAt - timers.now()));
     call();
   }
   timers.advance(deadline * 2);
-  taken.sort((left, right) => left - right);
-  const sum = taken.reduce((total, one) => total + one, 0);
+  latencies.sort((left, right) => left - right);
+  const sum = latencies.reduce((total, one) => total + one, 0);
   return {
-    mean: sum / taken.length,
-    p99: taken[Math.floor(taken.length * 0.99)]!,
+    mean: sum / latencies.length,
+    p99: latencies[Math.floor(latencies.length * 0.99)]!,
     lost: lost / offered,
   };
 }
--- a/bench/experiments/request-cost.ts
+++ b/bench/experiments/request-cost.ts
@@ -1,4 +1,4 @@
-/** Processor time and memory of entry and gate, against a bare hop. */
+/** Processor time and memory of entry and gate, compared to a plain proxy. */
 import {connect} from 'node:net';
 import type {Socket} from 'node:net';
 import {createRandom} from '../../src/random/random.js';
@@ -24,10 +24,10 @@
     kind: 'bare',
     target: upstream.address,
   });
-  const each = seconds / 3 - warmSeconds;
-  const bareTime = await costOf(bare, bare, each, seed);
-  const oneHop = await costOf(gate, gate, each, seed);
-  const entryTime = await costOf(entry, entry, each, seed);
+  const duration = seconds / 3 - warmSeconds;
+  const bareTime = await costOf(bare, bare, duration, seed);
+  const oneHop = await costOf(gate, gate, duration, seed);
+  const entryTime = await costOf(entry, entry, duration, seed);
   const rows: Row[] = [
     {figure: 'processor time a call, bare hop', unit: 'us', value: bareTime},
     compare(
@@ -50,24 +50,24 @@
     ),
     await memoryRow(bare, entry),
   ];
-  for (const part of [upstream, bare, gate, entry]) part.end();
+  for (const started of [upstream, bare, gate, entry]) started.end();
   return {rows};
 }
 
-/** Microseconds of processor time that `part` takes for a call to `target`. */
+/** Microseconds of processor time in `measured` per call to `target`. */
 async function costOf(
-  part: BenchProcess,
+  measured: BenchProcess,
   target: BenchProcess,
   seconds: number,
   seed: number,
 ): Promise<number> {
-  const targets = [{name: 'way', address: target.address, path: '/stock/7'}];
+  const targets = [{name: 'path', address: target.address, path: '/stock/7'}];
   const random = createRandom(seed);
   await timeArrivals({targets, rate, seconds: warmSeconds, random});
-  const before = await part.usage();
+  const before = await measured.usage();
   const timed = await timeArrivals({targets, rate, seconds, random});
-  const after = await part.usage();
-  const calls = timed.get('way')!.latency.totalCount;
+  const after = await measured.usage();
+  const calls = timed.get('path')!.latency.totalCount;
   return (after.processor - before.processor) / calls;
 }
 
@@ -80,15 +80,15 @@
   return compare('heap of an idle connection', 'B', entryBytes, bareBytes);
 }
 
-async function memoryOf(part: BenchProcess): Promise<number> {
-  const before = await part.usage();
-  const sockets = await openIdle(part.address);
-  const after = await part.usage();
+async function memoryOf(measured: BenchProcess): Promise<number> {
+  const before = await measured.usage();
+  const sockets = await openIdle(measured.address);
+  const after = await measured.usage();
   for (const socket of sockets) socket.destroy();
   return (after.heap - before.heap) / idleConnections;
 }
 
-/** Opens connections that have carried one request each. */
+/** Opens connections, sends one request on each, and leaves them idle. */
 function openIdle(address: string): Promise<Socket[]> {
   const [host, port] = address.split(':');
   const opened = Array.from({length: idleConnections}, () => {
--- a/bench/experiments/request-latency.ts
+++ b/bench/experiments/request-latency.ts
@@ -1,4 +1,4 @@
-/** What entry and gate add to a call, against calling the upstream directly. */
+/** Latency that entry and gate add, compared to calling the upstream directly. */
 import {createRandom} from '../../src/random/random.js';
 import type {Experiment, Outcome, Row, RunOptions} from '../experiment.js';
 import {compare} from '../experiment.js';
@@ -7,31 +7,31 @@
 import {startCallPath} from '../requests/processes.js';
 import type {BenchProcess} from '../requests/processes.js';
 
-/** Calls a second to each of the three ways. */
+/** Calls per second on each of the three paths. */
 const rates = [50, 200, 800];
 const bytes = 500;
-/** Calls before the first measure: a node's code is compiled by use. */
+/**
+ * Load before the first measurement, so that the JIT compiler has optimized the
+ * code of the nodes.
+ */
 const warmRate = 1000;
 const warmSeconds = 4;
 
 async function run({seed, seconds}: RunOptions): Promise<Outcome> {
-  const {
-    upstream,
-    upstreamNode: beside,
-    entry,
-  } = await startCallPath(seed, bytes);
-  const parts = [upstream, beside, entry];
+  const {upstream, upstreamNode, entry} = await startCallPath(seed, bytes);
+  const processes = [upstream, upstreamNode, entry];
   const rows: Row[] = [];
   const counts: Record<string, number> = {};
-  const each = (seconds - warmSeconds) / rates.length;
-  await drive(parts, warmRate, warmSeconds, seed);
+  const duration = (seconds - warmSeconds) / rates.length;
+  await timeCalls(processes, warmRate, warmSeconds, seed);
   for (const rate of rates) {
-    const before = await usageOf(parts);
-    const timed = await drive(parts, rate, each, seed + rate);
-    const after = await usageOf(parts);
+    const before = await usageOf(processes);
+    const timed = await timeCalls(processes, rate, duration, seed + rate);
+    const after = await usageOf(processes);
     rows.push(...latencyRows(rate, timed));
     const calls = timed.get('two hops')!.latency.totalCount;
-    // The node beside the upstream takes the calls of both ways.
+    // The node beside the upstream receives the calls of both paths, so that only
+    // the entry's processor time belongs to one path.
     const entryTime = (after[2]! - before[2]!) / calls;
     rows.push({
       figure: `processor time of the entry a call, ${rate}/s`,
@@ -43,12 +43,12 @@
       0,
     );
   }
-  for (const part of parts) part.end();
+  for (const process of processes) process.end();
   return {rows, counts};
 }
 
-function drive(
-  [upstream, beside, entry]: BenchProcess[],
+function timeCalls(
+  [upstream, upstreamNode, entry]: BenchProcess[],
   rate: number,
   seconds: number,
   seed: number,
@@ -57,7 +57,7 @@
   return timeArrivals({
     targets: [
       {name: 'direct', address: upstream!.address, path},
-      {name: 'one hop', address: beside!.address, path},
+      {name: 'one hop', address: upstreamNode!.address, path},
       {name: 'two hops', address: entry!.address, path},
     ],
     rate,
@@ -66,8 +66,8 @@
   });
 }
 
-async function usageOf(parts: BenchProcess[]): Promise<number[]> {
-  const usages = await Promise.all(parts.map(part => part.usage()));
+async function usageOf(processes: BenchProcess[]): Promise<number[]> {
+  const usages = await Promise.all(processes.map(process => process.usage()));
   return usages.map(usage => usage.processor);
 }
 
--- a/bench/experiments/request-overload.ts
+++ b/bench/experiments/request-overload.ts
@@ -1,6 +1,7 @@
 /**
- * The gate's queue from half to three times its upstream's capacity. Decisions
- * only, on timers moved by hand: the figures do not depend on the machine.
+ * The gate's queue at loads from half to three times the capacity of its
+ * upstream. The experiment runs only the decisions, on fake timers, so that its
+ * results do not depend on the machine.
  */
 import {createAdmission} from '../../src/request/decisions/admission.js';
 import type {Order} from '../../src/request/decisions/admission.js';
@@ -11,7 +12,7 @@
 import type {Experiment, Outcome, Row, RunOptions} from '../experiment.js';
 import {compare} from '../experiment.js';
 
-/** A discipline of the queue. */
+/** A queue discipline with its parameters. */
 interface Discipline {
   readonly name: string;
   readonly byPriority: boolean;
@@ -22,13 +23,13 @@
   readonly queueLength: number;
 }
 
-/** One kind of work at the agency's drillvault. */
+/** One kind of work at drillvault, a service of the agency deployment. */
 interface Kind {
   readonly priority: Priority;
   readonly share: number;
-  /** Milliseconds of work, on average. */
+  /** Average duration in milliseconds. */
   readonly work: number;
-  /** Milliseconds within which its answer is of use. */
+  /** Milliseconds within which the caller needs the answer. */
   readonly deadline: number;
 }
 
@@ -39,10 +40,10 @@
   {priority: 'background', share: 0.3, work: 100, deadline: 3000},
 ];
 const loads = [0.5, 0.8, 1, 1.5, 2, 3];
-/** Milliseconds of the model's time that each point covers, per second asked. */
+/** Simulated milliseconds per point and second of the run option. */
 const modelTime = 6_000;
 
-const chosen: Discipline = {
+const production: Discipline = {
   name: 'priority, floor, deadline test',
   byPriority: true,
   deadlineTest: true,
@@ -52,7 +53,7 @@
   queueLength: 64,
 };
 const plain: Discipline = {
-  ...chosen,
+  ...production,
   name: 'arrival order alone',
   byPriority: false,
   deadlineTest: false,
@@ -62,25 +63,25 @@
   plain,
   {...plain, name: 'newest first alone', order: 'lifo'},
   {...plain, name: 'arrival order, deadline test', deadlineTest: true},
-  {...chosen, name: 'priority alone', deadlineTest: false, floor: 0},
-  {...chosen, name: 'priority, deadline test', floor: 0},
-  chosen,
-  {...chosen, name: 'the same, newest first', order: 'lifo'},
-  {...chosen, name: 'the same, one slot reserved', reserve: 1},
-  {...chosen, name: 'the same, queue of 16', queueLength: 16},
-  {...chosen, name: 'the same, queue of 32', queueLength: 32},
-  {...chosen, name: 'the same, queue of 256', queueLength: 256},
+  {...production, name: 'priority alone', deadlineTest: false, floor: 0},
+  {...production, name: 'priority, deadline test', floor: 0},
+  production,
+  {...production, name: 'the same, newest first', order: 'lifo'},
+  {...production, name: 'the same, one slot reserved', reserve: 1},
+  {...production, name: 'the same, queue of 16', queueLength: 16},
+  {...production, name: 'the same, queue of 32', queueLength: 32},
+  {...production, name: 'the same, queue of 256', queueLength: 256},
 ];
 
-/** What came of the work offered at one load. */
+/** Results at one load. */
 interface Result {
-  /** Work that ended in time, a second, over what fits in the slots. */
+  /** Work that ended in time, divided by the capacity of the slots. */
   readonly goodput: number;
-  /** Share of each priority's work that ended in time. */
+  /** Share of the work that ended in time, by priority. */
   readonly inTime: Record<Priority, number>;
-  /** Milliseconds to the answer, of critical work that got one. */
+  /** p99 latency of answered critical work in milliseconds. */
   readonly criticalP99: number;
-  /** Milliseconds until a refusal was heard, at most. */
+  /** Longest time until a refusal in milliseconds. */
   readonly slowestRefusal: number;
 }
 
@@ -92,10 +93,10 @@
   }));
   for (const load of loads) {
     const duration = seconds * modelTime;
-    const base = offer(plain, load, duration, createRandom(seed));
+    const baseline = simulate(plain, load, duration, createRandom(seed));
     disciplines.forEach((discipline, index) => {
-      const result = offer(discipline, load, duration, createRandom(seed));
-      rows.push(...rowsOf(discipline.name, load, result, base));
+      const result = simulate(discipline, load, duration, createRandom(seed));
+      rows.push(...rowsOf(discipline.name, load, result, baseline));
       series[index]!.points.push({x: load, y: result.goodput});
     });
   }
@@ -109,7 +110,9 @@
         series,
       },
     ],
-    notes: ['decisions on fake timers; no machine time in it'],
+    notes: [
+      'decisions on fake timers; the results do not depend on the machine',
+    ],
   };
 }
 
@@ -117,16 +120,21 @@
   name: string,
   load: number,
   result: Result,
-  base: Result,
+  baseline: Result,
 ): Row[] {
   const at = `${load}x, ${name}`;
   return [
-    compare(`goodput at ${at}`, 'of capacity', result.goodput, base.goodput),
+    compare(
+      `goodput at ${at}`,
+      'of capacity',
+      result.goodput,
+      baseline.goodput,
+    ),
     compare(
       `critical p99 at ${at}`,
       'ms',
       result.criticalP99,
-      base.criticalP99,
+      baseline.criticalP99,
     ),
     ...(['critical', 'normal', 'background'] as const).map(priority => ({
       figure: `${priority} in time at ${at}`,
@@ -141,7 +149,7 @@
   ];
 }
 
-function offer(
+function simulate(
   discipline: Discipline,
   load: number,
   duration: number,
@@ -165,24 +173,24 @@
 
   function arrive(): void {
     const kind = pick(random);
-    const since = timers.now();
+    const startedAt = timers.now();
     const work = exponential(kind.work, random);
     const {priority} = kind;
     offered[priority]++;
     admission.offer({
       priority: discipline.byPriority ? priority : 'normal',
-      deadline: since + kind.deadline,
+      deadline: startedAt + kind.deadline,
       refuse: () => {
-        slowestRefusal = Math.max(slowestRefusal, timers.now() - since);
+        slowestRefusal = Math.max(slowestRefusal, timers.now() - startedAt);
       },
       start: () =>
         timers.after(work, () => {
-          const taken = timers.now() - since;
-          if (taken <= kind.deadline) {
+          const latency = timers.now() - startedAt;
+          if (latency <= kind.deadline) {
             inTime[priority]++;
             usefulWork += work;
           }
-          if (priority === 'critical') critical.push(taken);
+          if (priority === 'critical') critical.push(latency);
           admission.done(work);
         }),
     });
@@ -190,8 +198,12 @@
 
   const mean = kinds.reduce((sum, kind) => sum + kind.share * kind.work, 0);
   const gap = mean / slots / load;
-  for (let due = 0; due < duration; due += exponential(gap, random)) {
-    timers.advance(Math.max(0, due - timers.now()));
+  for (
+    let scheduledAt = 0;
+    scheduledAt < duration;
+    scheduledAt += exponential(gap, random)
+  ) {
+    timers.advance(Math.max(0, scheduledAt - timers.now()));
     arrive();
   }
   const share = (priority: Priority) =>
@@ -209,10 +221,10 @@
 }
 
 function pick(random: Random): Kind {
-  let mark = random.fraction();
+  let remaining = random.fraction();
   for (const kind of kinds) {
-    mark -= kind.share;
-    if (mark < 0) return kind;
+    remaining -= kind.share;
+    if (remaining < 0) return kind;
   }
   return kinds[0]!;
 }
