--- a/bench/callers/load.ts
+++ b/bench/callers/load.ts
@@ -26,7 +26,9 @@
   readonly uploadBytes: number;
   /** Milliseconds after which a caller disconnects. */
   readonly timeout: number;
-  /** Largest number of calls at a time; further arrivals are counted as unsent. */
+  /**
+   * Largest number of calls at a time; further arrivals are counted as unsent.
+   */
   readonly openLimit: number;
   /** Prefix of each call's tag. */
   readonly name: string;
--- a/bench/claims/far-network.ts
+++ b/bench/claims/far-network.ts
@@ -10,8 +10,9 @@
 }
 
 /**
- * Wraps a network so that each message is sent `delay` milliseconds later, which
- * simulates a distance, and counts the traffic. Connecting is not delayed.
+ * Wraps a network so that each message is sent `delay` milliseconds later,
+ * which simulates a distance, and counts the traffic. Connecting is not
+ * delayed.
  */
 export function createFarNetwork(
   inner: Network,
--- a/bench/claims/placements.test.ts
+++ b/bench/claims/placements.test.ts
@@ -9,7 +9,10 @@
 
 const timers = createTimers();
 
-/** Acquires a claim for a booking and never settles it, like a gate that crashes. */
+/**
+ * Acquires a claim for a booking and never settles it, like a gate that
+ * crashes.
+ */
 async function book(claims: Claims): Promise<string> {
   const acquired = await claims.acquire({
     service: 'stock-desk',
@@ -21,8 +24,9 @@
 }
 
 // Guards against two bookings for one idempotency key. The gate that runs the
-// first booking crashes before it answers, and the caller sends the request again
-// through another gate. The claim must survive the crash of the first gate.
+// first booking crashes before it answers, and the caller sends the request
+// again through another gate. The claim must survive the crash of the first
+// gate.
 test('claims in a gate’s memory are lost with the gate, and a repeated request runs again', async t => {
   const first = createGatePlacement(timers);
   t.is(await book(first.claims), 'granted');
--- a/bench/claims/placements.ts
+++ b/bench/claims/placements.ts
@@ -1,4 +1,7 @@
-/** Three places where claims could be stored, each as an implementation of `Claims`. */
+/**
+ * Three places where claims could be stored, each as an implementation of
+ * `Claims`.
+ */
 import {mkdtemp, rm} from 'node:fs/promises';
 import {createServer} from 'node:net';
 import type {AddressInfo} from 'node:net';
@@ -91,7 +94,9 @@
   };
 }
 
-/** Stores claims in the replicated log of three control processes with disks. */
+/**
+ * Stores claims in the replicated log of three control processes with disks.
+ */
 export async function createLogPlacement(
   timers: Timers,
   network: Network,
--- a/bench/consensus/host.ts
+++ b/bench/consensus/host.ts
@@ -17,7 +17,10 @@
 } from './messages.js';
 import {createRegister, encodeChange} from './register.js';
 
-/** Runs one member of a control group as a separate process, for bench and tests. */
+/**
+ * Runs one member of a control group as a separate process, for bench and
+ * tests.
+ */
 
 const options = JSON.parse(process.argv[2]!) as HostOptions;
 const register = createRegister();
--- a/bench/consensus/messages.ts
+++ b/bench/consensus/messages.ts
@@ -57,7 +57,9 @@
   readonly memory: number;
   readonly bytesOut: number;
   readonly logBytes: number;
-  /** Time at which the data folder had been opened, in ms since the Unix epoch. */
+  /**
+   * Time at which the data folder had been opened, in ms since the Unix epoch.
+   */
   readonly openedAt: number;
 }
 
--- a/bench/consensus/process-group.ts
+++ b/bench/consensus/process-group.ts
@@ -8,7 +8,9 @@
 import {reservePorts} from '../deployment/ports.js';
 import type {HostOptions, Reply, Request, View} from './messages.js';
 
-/** A control group of processes on loopback, each with a data folder on disk. */
+/**
+ * A control group of processes on loopback, each with a data folder on disk.
+ */
 export interface ProcessGroup {
   readonly names: readonly string[];
   memberOf(name: string): Member;
--- a/bench/consensus/processes.test.ts
+++ b/bench/consensus/processes.test.ts
@@ -33,8 +33,8 @@
 
 test('kill -9 of the leader loses no accepted change, and a second VM may fail right after the repair', async t => {
   // The leader's VM fails, loses its disk and restarts with an empty one. Once
-  // it is a voter again, a second VM fails with its disk. A majority remains, and
-  // it includes the repaired member, which must hold all accepted changes.
+  // it is a voter again, a second VM fails with its disk. A majority remains,
+  // and it includes the repaired member, which must hold all accepted changes.
   const group = await createProcessGroup({
     size: 3,
     snapshotEntries: 25,
@@ -76,8 +76,8 @@
 
 test('a suspended leader accepts no change, serves no stale read and follows once it resumes', async t => {
   // The leader is suspended with SIGSTOP while a change and a read are on their
-  // way to it. The other members elect a new leader. After SIGCONT the old leader
-  // must neither accept the change nor answer the read with stale state.
+  // way to it. The other members elect a new leader. After SIGCONT the old
+  // leader must neither accept the change nor answer the read with stale state.
   const group = await createProcessGroup({size: 3, electionTimeout});
   t.teardown(() => group.stop());
   const old = await accept(group, 'before');
--- a/bench/demo/agency.ts
+++ b/bench/demo/agency.ts
@@ -1,9 +1,14 @@
-/** Demo of the agency deployment: schedulers, training centres and ramp supervisors. */
+/**
+ * Demo of the agency deployment: schedulers, training centres and ramp
+ * supervisors.
+ */
 import type {Deployment} from '../deployment/deployment.js';
 import type {Checks} from './checks.js';
 import {tryLookups, tryOnce, tryUpload} from './shared-checks.js';
 
-/** Checks lookups, gate checks, the issuance of a certificate, and an upload. */
+/**
+ * Checks lookups, gate checks, the issuance of a certificate, and an upload.
+ */
 export async function tryAgency(
   deployment: Deployment,
   checks: Checks,
--- a/bench/demo/bad-input.ts
+++ b/bench/demo/bad-input.ts
@@ -1,4 +1,6 @@
-/** Checks that bad input is refused with a numbered code and stops no process. */
+/**
+ * Checks that bad input is refused with a numbered code and stops no process.
+ */
 import type {Deployment} from '../deployment/deployment.js';
 import {until} from '../deployment/until.js';
 import {call, sendRaw} from './calls.js';
@@ -7,7 +9,10 @@
 /** Larger than the body limits in the examples. */
 const oversizedBytes = 300 * 1024;
 
-/** Sends several kinds of bad input, then checks that the deployment still works. */
+/**
+ * Sends several kinds of bad input, then checks that the deployment still
+ * works.
+ */
 export async function tryBadInput(
   deployment: Deployment,
   checks: Checks,
--- a/bench/demo/calls.ts
+++ b/bench/demo/calls.ts
@@ -56,7 +56,9 @@
   return createHash('sha256').update(bytes).digest('hex');
 }
 
-/** Sends raw text and returns everything received until the connection closes. */
+/**
+ * Sends raw text and returns everything received until the connection closes.
+ */
 export function sendRaw(address: string, text: string): Promise<string> {
   const {host, port} = parseAddress(address);
   return new Promise((resolve, reject) => {
--- a/bench/demo/shared-checks.ts
+++ b/bench/demo/shared-checks.ts
@@ -6,7 +6,9 @@
 
 const uploadBytes = 8 * 1024 * 1024;
 
-/** Sends a lookup through each node; each answer must be complete and its own. */
+/**
+ * Sends a lookup through each node; each answer must be complete and its own.
+ */
 export async function tryLookups(
   deployment: Deployment,
   checks: Checks,
--- a/bench/deployment/deployment.ts
+++ b/bench/deployment/deployment.ts
@@ -35,12 +35,14 @@
   operate(...words: readonly string[]): Promise<ProgramResult>;
   /** Starts a program again with the same settings. */
   restart(name: string): Program;
-  /** Stops all processes with SIGTERM; returns those that did not exit with 0. */
+  /**
+   * Stops all processes with SIGTERM; returns those that did not exit with 0.
+   */
   stop(): Promise<readonly string[]>;
   /**
-   * Kills all processes immediately, including suspended ones. For tests that do
-   * not check the planned stop, which waits for keepers to hand over their claims
-   * even if no successor is running.
+   * Kills all processes immediately, including suspended ones. For tests that
+   * do not check the planned stop, which waits for keepers to hand over their
+   * claims even if no successor is running.
    */
   killAll(): Promise<void>;
 }
@@ -53,7 +55,9 @@
   readonly work: number;
   /** A request whose path or body contains this word crashes its upstream. */
   readonly crash?: string | undefined;
-  /** Returns the next upstream's address; default: some ports above its node's. */
+  /**
+   * Returns the next upstream's address; default: some ports above its node's.
+   */
   readonly upstreamAddress?: () => string;
 }
 
--- a/bench/deployment/setup.ts
+++ b/bench/deployment/setup.ts
@@ -37,7 +37,9 @@
   return leader;
 }
 
-/** Applies a file of commands and waits until they are in force at all nodes. */
+/**
+ * Applies a file of commands and waits until they are in force at all nodes.
+ */
 export async function setUp(
   deployment: Deployment,
   file: string,
--- a/bench/distribution/codec-server.ts
+++ b/bench/distribution/codec-server.ts
@@ -14,8 +14,8 @@
 import {emptyConfiguration} from '../../src/configuration/configuration.js';
 
 /**
- * Server of the codec comparison: sends the same pushes with one of three codecs
- * and receives the acknowledgements.
+ * Server of the codec comparison: sends the same pushes with one of three
+ * codecs and receives the acknowledgements.
  */
 
 /**
--- a/bench/distribution/harness.ts
+++ b/bench/distribution/harness.ts
@@ -106,8 +106,8 @@
 }
 
 /**
- * Waits until the processes have `nodes` nodes in total and all are at `version`
- * or a newer one. Resolves with false after `limit` milliseconds.
+ * Waits until the processes have `nodes` nodes in total and all are at
+ * `version` or a newer one. Resolves with false after `limit` milliseconds.
  */
 export async function awaitSynced(
   processes: readonly StandInProcess[],
--- a/bench/distribution/home-process.ts
+++ b/bench/distribution/home-process.ts
@@ -34,8 +34,8 @@
 
 /**
  * A distributor process of the bench: a source whose configuration changes on
- * the bench's commands, or a relay of sources. It does not include the commit in
- * the control group.
+ * the bench's commands, or a relay of sources. It does not include the commit
+ * in the control group.
  */
 
 type DistributorInput = Pick<DistributorOptions, 'source' | 'barrier' | 'asOf'>;
--- a/bench/distribution/messages.ts
+++ b/bench/distribution/messages.ts
@@ -67,7 +67,9 @@
   | {readonly kind: 'drop'}
   | {readonly kind: 'away'; readonly isAway: boolean};
 
-/** Replies of a stand-in process: `ready` after its start, then one per command. */
+/**
+ * Replies of a stand-in process: `ready` after its start, then one per command.
+ */
 export type Reply =
   | {readonly kind: 'ready'; readonly address: string}
   | {readonly kind: 'changes'; readonly changes: readonly AcceptedChange[]}
--- a/bench/distribution/node-process.ts
+++ b/bench/distribution/node-process.ts
@@ -21,7 +21,9 @@
   wallTime,
 } from './stand-in.js';
 
-/** A process with many stand-in nodes, each with its own link and subscriber. */
+/**
+ * A process with many stand-in nodes, each with its own link and subscriber.
+ */
 
 interface StandIn {
   readonly home: Home;
--- a/bench/endpoints/deployment.ts
+++ b/bench/endpoints/deployment.ts
@@ -57,7 +57,9 @@
   /** Number of services that each node calls. */
   readonly calls: number;
   readonly seed: number;
-  /** Number of homes that accept nodes; others only have peers. Default: all. */
+  /**
+   * Number of homes that accept nodes; others only have peers. Default: all.
+   */
   readonly nodeHomes?: number;
   /** Number of instances in the crowd of the last home. */
   readonly crowd?: number;
--- a/bench/endpoints/fleet.ts
+++ b/bench/endpoints/fleet.ts
@@ -34,7 +34,7 @@
   readonly service: string;
   readonly instance: string;
   /** Whether the node's table shows the expected state of the instance. */
-  readonly knows: (known: Announcement | undefined) => boolean;
+  readonly matches: (announcement: Announcement | undefined) => boolean;
 }
 
 const renewalInterval = 2000;
@@ -122,10 +122,10 @@
   );
   while (waiting.size > 0 && timers.now() - startedAt < maxWait) {
     for (const node of waiting) {
-      const known = node.table
+      const announcement = node.table
         .instances(wait.service)
         .find(one => one.instance === wait.instance);
-      if (!wait.knows(known)) continue;
+      if (!wait.matches(announcement)) continue;
       waiting.delete(node);
       times.push(timers.now() - startedAt);
     }
@@ -138,7 +138,7 @@
   return {
     service: node.service,
     instance: node.announcer.current()!.instance,
-    knows: known => (known?.state ?? 'gone') === state,
+    matches: announcement => (announcement?.state ?? 'gone') === state,
   };
 }
 
@@ -155,7 +155,8 @@
 function waitForIncarnation(node: Node, before: number): Wait {
   return {
     ...waitForState(node, 'serving'),
-    knows: known => known !== undefined && known.incarnation > before,
+    matches: announcement =>
+      announcement !== undefined && announcement.incarnation > before,
   };
 }
 
--- a/bench/endpoints/home.ts
+++ b/bench/endpoints/home.ts
@@ -11,7 +11,9 @@
 import type {HomeCommand, HomeKind, HomeReport} from './messages.js';
 import {createNaiveRegistry} from './naive-registry.js';
 
-/** A home of the bench: `node home.js NAME KIND`, controlled over Node.js IPC. */
+/**
+ * A home of the bench: `node home.js NAME KIND`, controlled over Node.js IPC.
+ */
 
 const [name, kind] = process.argv.slice(2) as [string, HomeKind];
 const timers = createTimers();
--- a/bench/endpoints/messages.ts
+++ b/bench/endpoints/messages.ts
@@ -77,7 +77,9 @@
   | {readonly kind: 'sample'; readonly sample: Sample}
   | {
       readonly kind: 'played';
-      /** Milliseconds until each node that calls the service knew of the event. */
+      /**
+       * Milliseconds until each node that calls the service knew of the event.
+       */
       readonly times: readonly number[];
       /** Number of nodes that did not learn of the event in time. */
       readonly missed: number;
--- a/bench/endpoints/naive-registry.ts
+++ b/bench/endpoints/naive-registry.ts
@@ -4,8 +4,8 @@
 
 /**
  * The baseline: a home that forwards each renewal, with the complete
- * announcement, to all homes and all nodes. An instance without renewals expires
- * at each home separately.
+ * announcement, to all homes and all nodes. An instance without renewals
+ * expires at each home separately.
  */
 
 interface Lease {
--- a/bench/endpoints/tick.ts
+++ b/bench/endpoints/tick.ts
@@ -20,7 +20,9 @@
 const rounds = 5;
 const services = 710;
 
-/** Returns microseconds per second of a home with this many records and peers. */
+/**
+ * Returns microseconds per second of a home with this many records and peers.
+ */
 export function measureTick(instances: number, peers: number): number {
   const timers = createFakeTimers(1_000_000);
   const home = createRegistry({
--- a/bench/experiment.ts
+++ b/bench/experiment.ts
@@ -16,7 +16,9 @@
   readonly figure: string;
   readonly unit: string;
   readonly value: number;
-  /** The baseline's value in the same run; absent if the row has no baseline. */
+  /**
+   * The baseline's value in the same run; absent if the row has no baseline.
+   */
   readonly baseline?: number;
   /** `value` divided by `baseline`. */
   readonly ratio?: number;
@@ -32,13 +34,17 @@
   readonly notes?: readonly string[];
 }
 
-/** An experiment; its module under `experiments/` exports it as `experiment`. */
+/**
+ * An experiment; its module under `experiments/` exports it as `experiment`.
+ */
 export interface Experiment {
   /** File name of the module without its extension. */
   readonly name: string;
   /** Description in one line. */
   readonly about: string;
-  /** Description of what the figures are compared to, measured in the same run. */
+  /**
+   * Description of what the figures are compared to, measured in the same run.
+   */
   readonly baseline: string;
   /** Default of `RunOptions.seconds`. */
   readonly seconds: number;
--- a/bench/experiments/claims-moves.ts
+++ b/bench/experiments/claims-moves.ts
@@ -25,7 +25,9 @@
 const answer = {status: 200, headers: [], body: Buffer.alloc(300, 'x')};
 const domains = ['rusayl-a', 'rusayl-b', 'seeb-c', 'rusayl-a'];
 const firstPort = 24_380;
-/** Number of services that the project is designed for, and instances of each. */
+/**
+ * Number of services that the project is designed for, and instances of each.
+ */
 const services = 710;
 const instances = 10;
 /** Number of repetitions over which the planning time is averaged. */
@@ -98,8 +100,8 @@
 }
 
 /**
- * Acquires claims for `duration` milliseconds; a keeper is replaced each `period`
- * milliseconds, or never if `period` is 0.
+ * Acquires claims for `duration` milliseconds; a keeper is replaced each
+ * `period` milliseconds, or never if `period` is 0.
  */
 async function load(
   {claims, replaceKeeper}: Cluster,
@@ -157,7 +159,9 @@
   }
 }
 
-/** Milliseconds that the leader needs to plan the keepers of all services once. */
+/**
+ * Milliseconds that the leader needs to plan the keepers of all services once.
+ */
 function measurePlanning(): number {
   const views = Array.from({length: services}, (_, number) =>
     createView(`service-${number}`),
@@ -239,7 +243,10 @@
   };
 }
 
-/** Cost of keeper replacements for requests with keys, and of planning at the leader. */
+/**
+ * Cost of keeper replacements for requests with keys, and of planning at the
+ * leader.
+ */
 export const experiment: Experiment = {
   name: 'claims-moves',
   about:
--- a/bench/experiments/claims-placement.ts
+++ b/bench/experiments/claims-placement.ts
@@ -155,7 +155,9 @@
 }
 
 interface HandoverCost {
-  /** Milliseconds from the assignment of a new keeper until it has all claims. */
+  /**
+   * Milliseconds from the assignment of a new keeper until it has all claims.
+   */
   readonly time: number;
   /** Longest delay of the event loop meanwhile, in milliseconds. */
   readonly standstill: number;
@@ -288,7 +290,9 @@
   return rows;
 }
 
-/** Latency, traffic and processor time of claims by the place that stores them. */
+/**
+ * Latency, traffic and processor time of claims by the place that stores them.
+ */
 export const experiment: Experiment = {
   name: 'claims-placement',
   about: 'idempotency claims at the gate, with keepers, in the log',
--- a/bench/experiments/configuration-apply.ts
+++ b/bench/experiments/configuration-apply.ts
@@ -21,7 +21,9 @@
 
 const policies = 20;
 
-/** Operators that send changes in turn; the machine stores an answer for each. */
+/**
+ * Operators that send changes in turn; the machine stores an answer for each.
+ */
 const operators = 20;
 
 /** Number of changes between two readings of the clock. */
@@ -34,7 +36,10 @@
   readonly changes: number;
 }
 
-/** Cost of operations on the complete state: size in bytes, times in milliseconds. */
+/**
+ * Cost of operations on the complete state: size in bytes, times in
+ * milliseconds.
+ */
 interface WholeCost {
   readonly bytes: number;
   readonly snapshot: number;
@@ -132,7 +137,9 @@
   };
 }
 
-/** Heap bytes of a machine with its stored answers, its history and one copy. */
+/**
+ * Heap bytes of a machine with its stored answers, its history and one copy.
+ */
 function measureHeap(services: number, seed: number): number {
   setFlagsFromString('--expose-gc');
   const collect = runInNewContext('gc') as () => void;
--- a/bench/experiments/consensus-failover.ts
+++ b/bench/experiments/consensus-failover.ts
@@ -10,7 +10,9 @@
 /** How the leader's process ends: with SIGKILL or with a planned stop. */
 type End = 'kill' | 'stop';
 
-/** Ends the leader; returns milliseconds until another leader accepts a change. */
+/**
+ * Ends the leader; returns milliseconds until another leader accepts a change.
+ */
 async function failOver(
   group: ProcessGroup,
   turn: number,
--- a/bench/experiments/distribution-codec.ts
+++ b/bench/experiments/distribution-codec.ts
@@ -22,7 +22,9 @@
   readonly version: number;
 }
 
-/** Cost at the server, and the processor time of all clients in milliseconds. */
+/**
+ * Cost at the server, and the processor time of all clients in milliseconds.
+ */
 interface Cost extends CodecCost {
   readonly client: number;
 }
--- a/bench/experiments/distribution-herd.ts
+++ b/bench/experiments/distribution-herd.ts
@@ -14,7 +14,9 @@
 /** Number of services that the project is designed for. */
 const services = 710;
 
-/** Nodes that stay connected, and processes of nodes that reconnect together. */
+/**
+ * Nodes that stay connected, and processes of nodes that reconnect together.
+ */
 const steadyNodes = 240;
 const herdProcesses = 4;
 const nodesPerProcess = 120;
--- a/bench/experiments/distribution-slopes.ts
+++ b/bench/experiments/distribution-slopes.ts
@@ -42,7 +42,9 @@
   readonly relay: Rate;
   /** All stand-in nodes together. */
   readonly nodes: Rate;
-  /** Memory of the relay and of all nodes in bytes, after a garbage collection. */
+  /**
+   * Memory of the relay and of all nodes in bytes, after a garbage collection.
+   */
   readonly relayMemory: number;
   readonly nodesMemory: number;
 }
--- a/bench/experiments/distribution-sync.ts
+++ b/bench/experiments/distribution-sync.ts
@@ -24,8 +24,8 @@
 }
 
 /**
- * Measures nodes that reconnect. With a long ring of recent changes they receive
- * deltas, with a short one the sections that differ.
+ * Measures nodes that reconnect. With a long ring of recent changes they
+ * receive deltas, with a short one the sections that differ.
  */
 async function measureReconnects(
   ringLength: number,
--- a/bench/experiments/distribution-window.ts
+++ b/bench/experiments/distribution-window.ts
@@ -174,7 +174,10 @@
   return {name, points};
 }
 
-/** Convergence time and bytes by batching window; a basis for choosing the window. */
+/**
+ * Convergence time and bytes by batching window; a basis for choosing the
+ * window.
+ */
 export const experiment: Experiment = {
   name: 'distribution-window',
   about: 'convergence time against control bytes over batching windows',
--- a/bench/experiments/node-cost.ts
+++ b/bench/experiments/node-cost.ts
@@ -122,7 +122,10 @@
   readonly controlChanging: Usage;
   /** Changes per second during the change phase. */
   readonly rate: number;
-  /** Megabytes of a node before and after the 710 services, and of control after. */
+  /**
+   * Megabytes of a node before and after the 710 services, and of control
+   * after.
+   */
   readonly small: number;
   readonly large: number;
   readonly control: number;
--- a/bench/experiments/request-balance.ts
+++ b/bench/experiments/request-balance.ts
@@ -31,9 +31,13 @@
 interface Rule {
   readonly name: string;
   readonly create: (random: Random) => Balancer;
-  /** Milliseconds in which a reported gate load loses its weight; 0 ignores it. */
+  /**
+   * Milliseconds in which a reported gate load loses its weight; 0 ignores it.
+   */
   readonly loadAge: number;
-  /** Utilization up to which instances of the own failure domain are preferred. */
+  /**
+   * Utilization up to which instances of the own failure domain are preferred.
+   */
   readonly localLimit: number;
 }
 
--- a/bench/experiments/request-latency.ts
+++ b/bench/experiments/request-latency.ts
@@ -1,4 +1,6 @@
-/** Latency that entry and gate add, compared to calling the upstream directly. */
+/**
+ * Latency that entry and gate add, compared to calling the upstream directly.
+ */
 import {createRandom} from '../../src/random/random.js';
 import type {Experiment, Outcome, Row, RunOptions} from '../experiment.js';
 import {compare} from '../experiment.js';
@@ -30,8 +32,8 @@
     const after = await usageOf(processes);
     rows.push(...latencyRows(rate, timed));
     const calls = timed.get('two hops')!.latency.totalCount;
-    // The node beside the upstream receives the calls of both paths, so that only
-    // the entry's processor time belongs to one path.
+    // The node beside the upstream receives the calls of both paths, so that
+    // only the entry's processor time belongs to one path.
     const entryTime = (after[2]! - before[2]!) / calls;
     rows.push({
       figure: `processor time of the entry a call, ${rate}/s`,
--- a/bench/requests/arrivals.ts
+++ b/bench/requests/arrivals.ts
@@ -1,6 +1,6 @@
 /**
- * Open-loop arrivals: calls arrive at random times, independent of the answers to
- * earlier calls.
+ * Open-loop arrivals: calls arrive at random times, independent of the answers
+ * to earlier calls.
  */
 import {Agent, request} from 'node:http';
 import {performance} from 'node:perf_hooks';
@@ -33,8 +33,8 @@
 }
 
 /**
- * Calls all targets in the same run, each call to a random target, so that their
- * figures are comparable.
+ * Calls all targets in the same run, each call to a random target, so that
+ * their figures are comparable.
  */
 export async function timeArrivals(
   options: ArrivalOptions,
--- a/bench/requests/messages.ts
+++ b/bench/requests/messages.ts
@@ -15,7 +15,10 @@
   | {
       readonly kind: 'node';
       readonly instance: string;
-      /** Address of the upstream beside it; absent for a node with only an entry. */
+      /**
+       * Address of the upstream beside it; absent for a node with only an
+       * entry.
+       */
       readonly upstream?: string;
       readonly instances: readonly Announcement[];
       readonly seed: number;
--- a/bench/requests/processes.ts
+++ b/bench/requests/processes.ts
@@ -66,7 +66,9 @@
   return {upstream, upstreamNode, entry};
 }
 
-/** Announcement of a bench instance; an empty gate stands for its node's gate. */
+/**
+ * Announcement of a bench instance; an empty gate stands for its node's gate.
+ */
 export function benchAnnouncement(
   instance: string,
   gate = '',
--- a/bench/upstreams/counts.ts
+++ b/bench/upstreams/counts.ts
@@ -2,7 +2,9 @@
 
 /** The counts as `GET /counts` returns them. */
 export interface Counts {
-  /** Number of runs by idempotency key, or by tag for requests without a key. */
+  /**
+   * Number of runs by idempotency key, or by tag for requests without a key.
+   */
   readonly runs: Record<string, number>;
   /** SHA-256 digests of complete uploads, by path. */
   readonly uploads: Record<string, string>;
--- a/bench/upstreams/faults.ts
+++ b/bench/upstreams/faults.ts
@@ -23,7 +23,9 @@
 
 /** Faults to inject into the next work requests. */
 export interface FaultQueue {
-  /** Injects the fault into the next `count` requests; replaces earlier ones. */
+  /**
+   * Injects the fault into the next `count` requests; replaces earlier ones.
+   */
   set(kind: FaultKind, count: number): void;
   /** The fault for the current request, if any. */
   take(): FaultKind | undefined;
