--- a/bench/demo/courses.ts
+++ b/bench/demo/shared-checks.ts
@@ -1,4 +1,4 @@
-/** Courses that both deployments share. */
+/** Checks that the demos of both deployments share. */
 import {request} from 'undici';
 import type {Deployment} from '../deployment/deployment.js';
 import {call, sha256} from './calls.js';
@@ -6,7 +6,9 @@
 
 const uploadBytes = 8 * 1024 * 1024;
 
-/** One lookup through each node; each must be whole and its caller's own. */
+/**
+ * Sends a lookup through each node; each answer must be complete and its own.
+ */
 export async function tryLookups(
   deployment: Deployment,
   checks: Checks,
@@ -14,7 +16,7 @@
   path: string,
 ): Promise<void> {
   const replies = await Promise.all(
-    deployment.places.map(({settings}) => {
+    deployment.instances.map(({settings}) => {
       const tag = `${what} ${settings.name}`.replaceAll(' ', '-');
       return call(settings.callerAddress, path, {tag}).then(reply => ({
         reply,
@@ -22,32 +24,37 @@
       }));
     }),
   );
-  const right = replies.filter(
+  const correct = replies.filter(
     ({reply, tag}) =>
       reply.status === 200 && reply.isWhole && reply.tag === tag,
   );
   const codes = replies.map(({reply}) => reply.code || reply.status).join(' ');
   checks.check(
-    `${what} through ${replies.length} nodes are whole and their own`,
-    right.length === replies.length,
+    `${what} through ${replies.length} nodes get complete answers of their own`,
+    correct.length === replies.length,
     codes,
   );
 }
 
-/** Work that must run once. */
+/** Work that must run exactly once. */
 export interface Once {
   readonly what: string;
   readonly service: string;
   readonly path: string;
 }
 
-/** Sends it, then sends it again with its key through another entry. */
+/**
+ * Sends the work, then sends it again with the same key through another entry.
+ * It must run once, and the key must be refused for a different body.
+ */
 export async function tryOnce(
   deployment: Deployment,
   checks: Checks,
   {what, service, path}: Once,
 ): Promise<void> {
-  const entries = deployment.places.map(({settings}) => settings.callerAddress);
+  const entries = deployment.instances.map(
+    ({settings}) => settings.callerAddress,
+  );
   const key = `demo-${what.replaceAll(' ', '-')}`;
   const body = Buffer.from(JSON.stringify({item: 'one', count: 1}));
   const options = {method: 'POST', key, tag: key, body} as const;
@@ -82,9 +89,9 @@
   key: string,
 ): Promise<number> {
   let runs = 0;
-  for (const place of deployment.places) {
-    if (place.service !== service) continue;
-    const answer = await request(`http://${place.upstreamAddress}/counts`);
+  for (const instance of deployment.instances) {
+    if (instance.service !== service) continue;
+    const answer = await request(`http://${instance.upstreamAddress}/counts`);
     const counts = (await answer.body.json()) as {
       runs: {[key: string]: number};
     };
@@ -93,19 +100,19 @@
   return runs;
 }
 
-/** Uploads a file; the digest that the upstream found must be the file's. */
+/** Uploads a file and compares the digest that the upstream computed. */
 export async function tryUpload(
   deployment: Deployment,
   checks: Checks,
   path: string,
 ): Promise<void> {
   const body = Buffer.alloc(uploadBytes, 'scan');
-  const entry = deployment.places[0]!.settings.callerAddress;
+  const entry = deployment.instances[0]!.settings.callerAddress;
   const reply = await call(entry, path, {method: 'PUT', tag: 'up', body});
-  const found = reply.status === 200 ? receivedDigest(reply.body) : '';
+  const digest = reply.status === 200 ? receivedDigest(reply.body) : '';
   checks.check(
     `an upload of ${uploadBytes} bytes is stored whole`,
-    reply.isWhole && found === sha256(body),
+    reply.isWhole && digest === sha256(body),
     `${reply.status} ${reply.code}`,
   );
 }
--- a/bench/deployment/small.ts
+++ b/bench/deployment/small-deployment.ts
@@ -1,35 +1,35 @@
-/** Settings of a small deployment on free ports, for failure tests. */
+/** Starts a small deployment on reserved ports, for failure tests. */
 import {mkdtemp, rm, writeFile} from 'node:fs/promises';
 import {tmpdir} from 'node:os';
 import {join} from 'node:path';
 import {startDeployment} from './deployment.js';
 import type {Deployment} from './deployment.js';
 import {reservePorts} from './ports.js';
-import type {Ports} from './ports.js';
+import type {PortRange} from './ports.js';
 
-/** What a small deployment has. */
-export interface SmallOptions {
+/** Options of startSmallDeployment. */
+export interface SmallDeploymentOptions {
   readonly controls: number;
-  /** Relays, which are then the nodes' homes; default none. */
+  /** Number of relays; if any, they are the nodes' homes. Default: none. */
   readonly relays?: number;
-  /** Instances by service. */
+  /** Services with the number of their instances. */
   readonly services: ReadonlyArray<{
     readonly name: string;
     readonly instances: number;
   }>;
-  /** More settings for each node, such as `claimRetention`. */
+  /** Additional settings of each node, such as `claimRetention`. */
   readonly node?: object;
-  /** More settings for each control process. */
+  /** Additional settings of each control process. */
   readonly control?: object;
-  /** Milliseconds that the upstreams' work takes; default 5. */
+  /** Duration of a piece of the upstreams' work in milliseconds; default 5. */
   readonly work?: number;
-  /** Work whose path or body holds this word ends its upstream. */
+  /** A request whose path or body contains this word crashes its upstream. */
   readonly crash?: string;
 }
 
 const defaultWork = 5;
 
-/** Unchecked settings as they go into a file. */
+/** Settings as written to a file, not validated. */
 interface SettingsFile {
   readonly name: string;
   readonly [key: string]: unknown;
@@ -37,8 +37,13 @@
 
 const failureDomains = ['hall-a', 'hall-b', 'hall-c'];
 
-/** Starts a small deployment; its `stop` gives its ports and files back. */
-export async function startSmall(options: SmallOptions): Promise<Deployment> {
+/**
+ * Starts a small deployment; stopping or killing it releases its ports and
+ * removes its files.
+ */
+export async function startSmallDeployment(
+  options: SmallDeploymentOptions,
+): Promise<Deployment> {
   const folder = await mkdtemp(join(tmpdir(), 'foxbarrow-settings-'));
   const ports = await reservePorts();
   await writeSettings(folder, ports, options);
@@ -46,7 +51,7 @@
     folder,
     work: options.work ?? defaultWork,
     crash: options.crash,
-    upstreamAddress: ports.take,
+    upstreamAddress: ports.nextAddress,
   });
 
   async function release(): Promise<void> {
@@ -61,8 +66,8 @@
       await release();
       return failed;
     },
-    async end() {
-      await deployment.end();
+    async killAll() {
+      await deployment.killAll();
       await release();
     },
   };
@@ -70,8 +75,8 @@
 
 async function writeSettings(
   folder: string,
-  {take}: Ports,
-  options: SmallOptions,
+  {nextAddress: take}: PortRange,
+  options: SmallDeploymentOptions,
 ): Promise<void> {
   const members = Array.from({length: options.controls}, (_, index) => ({
     name: `control-${index + 1}`,
--- a/bench/distribution/herd-process.ts
+++ b/bench/distribution/herd-process.ts
@@ -4,20 +4,27 @@
 import {createChannels} from '../../src/link/channel.js';
 import {createTcpNetwork} from '../../src/link/tcp-network.js';
 import {createTimers} from '../../src/time/timers.js';
-import type {Ask, NodesSetup, Told} from './messages.js';
-import {countBytes, readSetup, readUsage, serveAsks, tell} from './stand-in.js';
+import type {Command, NodesSetup, Reply} from './messages.js';
+import {
+  countBytes,
+  readSetup,
+  readUsage,
+  serveCommands,
+  sendReply,
+} from './stand-in.js';
 
 /**
- * A process of nodes that return at once: each asks for its state, waits when
- * told to, pings, and drops what it gets, so that hundreds fit into it.
+ * A process with a herd of nodes that reconnect at the same time. Each node
+ * subscribes, retries later if the home postpones it, sends heartbeats, and
+ * discards the configuration it receives, so that one process can run hundreds.
  */
 
-const heartbeat = 1000;
+const heartbeatInterval = 1000;
 
 const setup = readSetup<NodesSetup>();
 const timers = createTimers();
 const counted = countBytes(createTcpNetwork());
-/** The version of each node that has one. */
+/** Latest version by node; nodes without a configuration are absent. */
 const versions = new Map<number, number>();
 
 async function join(node: number): Promise<void> {
@@ -41,7 +48,7 @@
   let number = 0;
   fleet.onMessage(() => {});
   fleet.send(hello);
-  timers.every(heartbeat, () => {
+  timers.every(heartbeatInterval, () => {
     fleet.send({kind: 'ping', number: ++number, version: versions.get(node)});
   });
   configuration.onMessage(body => {
@@ -53,8 +60,8 @@
   configuration.send(subscribe);
 }
 
-async function answer(ask: Ask): Promise<Told> {
-  switch (ask.kind) {
+async function execute(command: Command): Promise<Reply> {
+  switch (command.kind) {
     case 'usage':
       return {kind: 'usage', usage: readUsage(counted)};
     case 'synced': {
@@ -63,10 +70,10 @@
       return {kind: 'synced', nodes, least: nodes > 0 ? least : 0};
     }
     default:
-      throw new Error(`a herd does not know ${ask.kind}`);
+      throw new Error(`a herd does not support ${command.kind}`);
   }
 }
 
 for (let node = 0; node < setup.nodes; node++) void join(node);
-serveAsks(answer);
-tell({kind: 'ready', address: ''});
+serveCommands(execute);
+sendReply({kind: 'ready', address: ''});
--- a/bench/experiments/memory.ts
+++ b/bench/experiments/memory.ts
@@ -5,20 +5,20 @@
 import {runLoad} from '../callers/load.js';
 import {parseMix} from '../callers/mix.js';
 import {setUp} from '../deployment/setup.js';
-import {startSmall} from '../deployment/small.js';
+import {startSmallDeployment} from '../deployment/small-deployment.js';
 import {compare} from '../experiment.js';
 import type {Experiment, Outcome, Row, RunOptions} from '../experiment.js';
 import {readMemory} from '../memory.js';
 import type {Memory} from '../memory.js';
 
-/** Calls a second that a node of the designed size takes. */
+/** Calls per second of a node at the size that the project is designed for. */
 const nodeRate = 50;
 
 async function pause(milliseconds: number): Promise<void> {
   await new Promise(resolve => setTimeout(resolve, milliseconds));
 }
 
-/** A process of Node.js that has loaded nothing and does nothing. */
+/** Measures a Node.js process that loads no modules and does nothing. */
 async function measureBare(): Promise<Memory> {
   const child = spawn(process.execPath, ['-e', 'setInterval(() => {}, 1000)']);
   await pause(1000);
@@ -34,21 +34,21 @@
   readonly calls: number;
 }
 
-/** `binary` is empty for the compiled modules. */
+/** Measures the program; an empty `binary` stands for the compiled modules. */
 async function measureProgram(
   binary: string,
   options: RunOptions,
 ): Promise<Measured> {
   process.env['FOXBARROW_BINARY'] = binary;
   const services = [{name: 'crewbook', instances: 3}];
-  const deployment = await startSmall({controls: 3, services});
+  const deployment = await startSmallDeployment({controls: 3, services});
   try {
     await setUp(deployment, 'examples/agency/setup.fox');
     await pause(2000);
-    const [place] = deployment.places;
-    const idle = readMemory(place!.node.id);
+    const [instance] = deployment.instances;
+    const idle = readMemory(instance!.node.id);
     const summary = await runLoad({
-      targets: [place!.settings.callerAddress],
+      targets: [instance!.settings.callerAddress],
       rate: nodeRate,
       count: nodeRate * options.seconds,
       duration: (options.seconds / 2) * 1000,
@@ -62,7 +62,7 @@
     });
     return {
       idle,
-      loaded: readMemory(place!.node.id),
+      loaded: readMemory(instance!.node.id),
       control: readMemory(deployment.controls[0]!.id),
       calls: summary.endings.whole,
     };
--- a/bench/upstreams/service.ts
+++ b/bench/upstreams/service.ts
@@ -1,24 +1,24 @@
-/** What each stand-in service offers, in the brief's sizes. */
+/** The routes and instance sizes of the stand-in services. */
 
-/** The services that the bench can stand in for. */
+/** The services that a stand-in upstream can simulate. */
 export type ServiceName =
   'stock-desk' | 'parts-files' | 'crewbook' | 'drillvault';
 
-/** What a work request does. */
-export type Duty = 'lookup' | 'once' | 'upload' | 'download';
+/** What a work request does; `once` is work that must not run twice. */
+export type WorkKind = 'lookup' | 'once' | 'upload' | 'download';
 
-/** One path of a service that does work. */
+/** A route of a service whose requests do work. */
 export interface WorkRoute {
   readonly method: 'GET' | 'POST' | 'PUT';
   readonly pattern: string;
-  readonly duty: Duty;
+  readonly kind: WorkKind;
 }
 
-/** One service with the sizes of one of its instances. */
+/** A service and the capacity of one of its instances. */
 export interface ServiceShape {
   readonly slots: number;
   readonly connections: number;
-  /** Milliseconds that one piece of work takes by default. */
+  /** Default duration of one piece of work, in milliseconds. */
   readonly work: number;
   readonly routes: readonly WorkRoute[];
 }
@@ -29,9 +29,9 @@
     connections: 110,
     work: 10,
     routes: [
-      {method: 'GET', pattern: '/stock/:part', duty: 'lookup'},
-      {method: 'GET', pattern: '/catalogue/:part', duty: 'lookup'},
-      {method: 'POST', pattern: '/bookings', duty: 'once'},
+      {method: 'GET', pattern: '/stock/:part', kind: 'lookup'},
+      {method: 'GET', pattern: '/catalogue/:part', kind: 'lookup'},
+      {method: 'POST', pattern: '/bookings', kind: 'once'},
     ],
   },
   'parts-files': {
@@ -39,8 +39,8 @@
     connections: 110,
     work: 10,
     routes: [
-      {method: 'PUT', pattern: '/files/:id', duty: 'upload'},
-      {method: 'GET', pattern: '/files/:id', duty: 'download'},
+      {method: 'PUT', pattern: '/files/:id', kind: 'upload'},
+      {method: 'GET', pattern: '/files/:id', kind: 'download'},
     ],
   },
   crewbook: {
@@ -48,8 +48,8 @@
     connections: 130,
     work: 10,
     routes: [
-      {method: 'GET', pattern: '/records/:id', duty: 'lookup'},
-      {method: 'POST', pattern: '/certificates', duty: 'once'},
+      {method: 'GET', pattern: '/records/:id', kind: 'lookup'},
+      {method: 'POST', pattern: '/certificates', kind: 'once'},
     ],
   },
   drillvault: {
@@ -57,15 +57,15 @@
     connections: 130,
     work: 10,
     routes: [
-      {method: 'PUT', pattern: '/videos/:id', duty: 'upload'},
-      {method: 'GET', pattern: '/gate-checks/:id', duty: 'lookup'},
-      {method: 'GET', pattern: '/validity/:id', duty: 'lookup'},
+      {method: 'PUT', pattern: '/videos/:id', kind: 'upload'},
+      {method: 'GET', pattern: '/gate-checks/:id', kind: 'lookup'},
+      {method: 'GET', pattern: '/validity/:id', kind: 'lookup'},
     ],
   },
 };
 
-/** Header by which a caller names its request; the answer carries it back. */
+/** Header with the caller's tag of a request; the response repeats it. */
 export const tagHeader = 'x-tag';
 
-/** Header with the SHA-256 digest of the answer's body, in hex. */
+/** Header with the SHA-256 digest of the response body, in hex. */
 export const digestHeader = 'x-digest';
--- a/bench/upstreams/slots.ts
+++ b/bench/upstreams/slots.ts
@@ -1,33 +1,33 @@
 import type {Timers} from '../../src/time/timers.js';
 
-/** What happens to work that comes when all slots are taken. */
+/** What happens to work that arrives while all slots are taken. */
 export type Overload = 'queue' | 'shed';
 
-/** The slots of one instance; work waits its turn or is shed. */
+/** The slots of one instance; work without a slot is queued or shed. */
 export interface Slots {
-  /** Resolves with true once a slot is held, with false when shed. */
-  take(): Promise<boolean>;
-  /** Gives a held slot back. */
-  give(): void;
+  /** Resolves with true once a slot is acquired, with false if shed. */
+  acquire(): Promise<boolean>;
+  /** Releases an acquired slot. */
+  release(): void;
   readonly running: number;
   readonly waiting: number;
-  /** The most that ever ran at once. */
-  readonly greatest: number;
+  /** Largest number of slots that were in use at the same time. */
+  readonly maxRunning: number;
 }
 
 /** Creates the slots of one instance. */
 export function createSlots(limit: number, overload: () => Overload): Slots {
   const queue: Array<() => void> = [];
   let running = 0;
-  let greatest = 0;
+  let maxRunning = 0;
 
   function start(): void {
     running++;
-    greatest = Math.max(greatest, running);
+    maxRunning = Math.max(maxRunning, running);
   }
 
   return {
-    async take() {
+    async acquire() {
       if (running < limit) {
         start();
         return true;
@@ -36,7 +36,7 @@
       await new Promise<void>(resolve => queue.push(resolve));
       return true;
     },
-    give() {
+    release() {
       running--;
       const next = queue.shift();
       if (next === undefined) return;
@@ -49,30 +49,30 @@
     get waiting() {
       return queue.length;
     },
-    get greatest() {
-      return greatest;
+    get maxRunning() {
+      return maxRunning;
     },
   };
 }
 
-/** A value whose readers see it `lag` milliseconds late. */
-export interface Lagging<T> {
+/** A value whose changes become visible `lag` milliseconds later. */
+export interface DelayedValue<T> {
   set(value: T): void;
   get(): T;
 }
 
-/** Creates a value that is seen late, as health and load endpoints are. */
-export function createLagging<T>(
-  first: T,
+/** Creates a delayed value; simulates stale health and load endpoints. */
+export function createDelayedValue<T>(
+  initial: T,
   lag: () => number,
   timers: Timers,
-): Lagging<T> {
-  let seen = first;
+): DelayedValue<T> {
+  let visible = initial;
   return {
     set(value) {
-      if (lag() === 0) seen = value;
-      else timers.after(lag(), () => (seen = value));
+      if (lag() === 0) visible = value;
+      else timers.after(lag(), () => (visible = value));
     },
-    get: () => seen,
+    get: () => visible,
   };
 }
--- a/scenarios/processes/crashing-request.test.ts
+++ b/scenarios/processes/crashing-request.test.ts
@@ -2,10 +2,10 @@
 import test from 'ava';
 import type {ExecutionContext} from 'ava';
 import {request} from 'undici';
-import type {Deployment, Place} from '../../bench/deployment/deployment.js';
+import type {Deployment, DeployedInstance} from '../../bench/deployment/deployment.js';
 import type {Program} from '../../bench/deployment/program.js';
 import {setUp} from '../../bench/deployment/setup.js';
-import {startSmall} from '../../bench/deployment/small.js';
+import {startSmallDeployment} from '../../bench/deployment/small-deployment.js';
 import {until} from '../../bench/deployment/until.js';
 import {call} from '../../bench/demo/calls.js';
 import type {CallOptions, Reply} from '../../bench/demo/calls.js';
@@ -29,8 +29,8 @@
   running(): readonly Program[];
 }
 
-function crewbooks(deployment: Deployment): Place[] {
-  return deployment.places.filter(({service}) => service === 'crewbook');
+function crewbooks(deployment: Deployment): DeployedInstance[] {
+  return deployment.instances.filter(({service}) => service === 'crewbook');
 }
 
 /** Restarts each upstream of crewbook when it exits, as its VM would. */
@@ -50,7 +50,7 @@
   for (const {upstream, settings} of crewbooks(deployment)) {
     void supervise(settings.name, upstream);
   }
-  const {end} = deployment;
+  const {killAll: end} = deployment;
   Object.assign(deployment, {
     end: () => {
       isStopped = true;
@@ -61,7 +61,7 @@
 }
 
 async function start(t: ExecutionContext, work: number) {
-  const deployment = await startSmall({
+  const deployment = await startSmallDeployment({
     controls: 3,
     services: [
       {name: 'crewbook', instances: 5},
@@ -71,7 +71,7 @@
     crash,
   });
   const upstreams = superviseUpstreams(deployment);
-  t.teardown(() => deployment.end());
+  t.teardown(() => deployment.killAll());
   await setUp(deployment, 'examples/agency/setup.fox');
   return {deployment, upstreams};
 }
@@ -84,7 +84,7 @@
 ) {
   let turn = 0;
   return (): Promise<Reply> => {
-    const {places} = deployment;
+    const {instances: places} = deployment;
     const {callerAddress} = places[turn++ % places.length]!.settings;
     return call(callerAddress, path, callOptions);
   };
--- a/scenarios/processes/distribution.test.ts
+++ b/scenarios/processes/distribution.test.ts
@@ -1,9 +1,9 @@
 import {setTimeout as pause} from 'node:timers/promises';
 import test from 'ava';
 import type {ExecutionContext} from 'ava';
-import type {Deployment, Place} from '../../bench/deployment/deployment.js';
+import type {Deployment, DeployedInstance} from '../../bench/deployment/deployment.js';
 import {connectOperator, setUp} from '../../bench/deployment/setup.js';
-import {startSmall} from '../../bench/deployment/small.js';
+import {startSmallDeployment} from '../../bench/deployment/small-deployment.js';
 import {until} from '../../bench/deployment/until.js';
 import {call} from '../../bench/demo/calls.js';
 import type {Reply} from '../../bench/demo/calls.js';
@@ -14,14 +14,14 @@
 const setUpFile = 'examples/agency/setup.fox';
 
 async function start(t: ExecutionContext): Promise<Deployment> {
-  const deployment = await startSmall({
+  const deployment = await startSmallDeployment({
     controls: 3,
     services: [
       {name: 'crewbook', instances: 2},
       {name: 'drillvault', instances: 1},
     ],
   });
-  t.teardown(deployment.end);
+  t.teardown(deployment.killAll);
   await setUp(deployment, setUpFile);
   return deployment;
 }
@@ -47,13 +47,13 @@
 
 const removeRecords: Edit = {action: 'remove', kind: 'route', name: 'records'};
 
-function lookUp(place: Place): Promise<Reply | undefined> {
+function lookUp(place: DeployedInstance): Promise<Reply | undefined> {
   const address = place.settings.callerAddress;
   return call(address, '/records/crew-1').catch(() => undefined);
 }
 
 /** Waits until a node no longer has the route for lookups. */
-function awaitRemoval(place: Place): Promise<void> {
+function awaitRemoval(place: DeployedInstance): Promise<void> {
   return until(
     `${place.settings.name} without the route`,
     waitTimeout,
@@ -80,7 +80,7 @@
     // is back.
     const deployment = await start(t);
     const [stale, ...others] = deployment.controls;
-    const place = deployment.places[0]!;
+    const place = deployment.instances[0]!;
     t.is((await lookUp(place))?.status, 200);
     stale!.signal('SIGSTOP');
     await change(deployment, [1, 2], removeRecords);
@@ -118,7 +118,7 @@
   },
 };
 
-function awaitReturn(place: Place): Promise<void> {
+function awaitReturn(place: DeployedInstance): Promise<void> {
   return until(
     `${place.settings.name} with the route`,
     waitTimeout,
@@ -139,9 +139,9 @@
     const others = [0, 1, 2].filter(index => index !== suspended);
     control.signal('SIGSTOP');
     await change(deployment, others, removeRecords);
-    await Promise.all(deployment.places.map(awaitRemoval));
+    await Promise.all(deployment.instances.map(awaitRemoval));
     await change(deployment, others, putRecords);
-    await Promise.all(deployment.places.map(awaitReturn));
+    await Promise.all(deployment.instances.map(awaitReturn));
     control.signal('SIGCONT');
   }
   t.pass();
--- a/scenarios/processes/endpoints.test.ts
+++ b/scenarios/processes/endpoints.test.ts
@@ -1,9 +1,9 @@
 import test from 'ava';
 import type {ExecutionContext} from 'ava';
 import {request} from 'undici';
-import type {Deployment, Place} from '../../bench/deployment/deployment.js';
+import type {Deployment, DeployedInstance} from '../../bench/deployment/deployment.js';
 import {setUp} from '../../bench/deployment/setup.js';
-import {startSmall} from '../../bench/deployment/small.js';
+import {startSmallDeployment} from '../../bench/deployment/small-deployment.js';
 import {until} from '../../bench/deployment/until.js';
 import {call} from '../../bench/demo/calls.js';
 
@@ -12,14 +12,14 @@
 const lookups = 40;
 
 async function start(t: ExecutionContext): Promise<Deployment> {
-  const deployment = await startSmall({
+  const deployment = await startSmallDeployment({
     controls: 3,
     services: [
       {name: 'crewbook', instances: 3},
       {name: 'drillvault', instances: 1},
     ],
   });
-  t.teardown(deployment.end);
+  t.teardown(deployment.killAll);
   await setUp(deployment, 'examples/agency/setup.fox');
   // The caller's node prefers its failure domain, that of the first crewbook.
   await until('work at the first crewbook', waitTimeout, async () => {
@@ -29,15 +29,15 @@
   return deployment;
 }
 
-function crewbooks(deployment: Deployment): Place[] {
-  return deployment.places.filter(({service}) => service === 'crewbook');
+function crewbooks(deployment: Deployment): DeployedInstance[] {
+  return deployment.instances.filter(({service}) => service === 'crewbook');
 }
 
-function callerNode(deployment: Deployment): Place {
-  return deployment.places.find(({service}) => service === 'drillvault')!;
+function callerNode(deployment: Deployment): DeployedInstance {
+  return deployment.instances.find(({service}) => service === 'drillvault')!;
 }
 
-async function countBegun(place: Place): Promise<number> {
+async function countBegun(place: DeployedInstance): Promise<number> {
   const answer = await request(`http://${place.upstreamAddress}/counts`);
   return ((await answer.body.json()) as {begun: number}).begun;
 }
@@ -146,7 +146,7 @@
     // drillvault. An operator drains that instance. If the node subscribed only
     // to services that it calls, its gate would miss the drain and still admit
     // work from entries with an older version.
-    const deployment = await startSmall({
+    const deployment = await startSmallDeployment({
       controls: 3,
       services: [
         {name: 'crewbook', instances: 1},
@@ -154,7 +154,7 @@
       ],
       node: {calls: ['crewbook']},
     });
-    t.teardown(deployment.end);
+    t.teardown(deployment.killAll);
     await setUp(deployment, 'examples/agency/setup.fox');
     const {name, callerAddress} = callerNode(deployment).settings;
     const checkGate = () => call(callerAddress, '/gate-checks/crew-1');
--- a/scenarios/processes/mixed-faults.test.ts
+++ b/scenarios/processes/mixed-faults.test.ts
@@ -8,7 +8,7 @@
   findLeader,
   setUp,
 } from '../../bench/deployment/setup.js';
-import {startSmall} from '../../bench/deployment/small.js';
+import {startSmallDeployment} from '../../bench/deployment/small-deployment.js';
 import {until} from '../../bench/deployment/until.js';
 import {call} from '../../bench/demo/calls.js';
 import {createRandom} from '../../src/random/random.js';
@@ -20,7 +20,7 @@
 /** Runs per idempotency key, over all upstreams; no upstream is killed. */
 async function countRuns(deployment: Deployment): Promise<Map<string, number>> {
   const runs = new Map<string, number>();
-  for (const {upstreamAddress} of deployment.places) {
+  for (const {upstreamAddress} of deployment.instances) {
     const answer = await request(`http://${upstreamAddress}/counts`);
     const counts = (await answer.body.json()) as {
       runs: {[key: string]: number};
@@ -39,7 +39,7 @@
 
 /** Kills and stops processes one after the other; waits for each to recover. */
 async function injectFaults(deployment: Deployment): Promise<void> {
-  const [first, second, third] = deployment.places;
+  const [first, second, third] = deployment.instances;
   first!.node.signal('SIGKILL');
   await first!.node.ended();
   deployment.restart(first!.settings.name);
@@ -67,7 +67,7 @@
     // is drained. An issuance that was answered must have run once, one that
     // was refused as not run must not have run, and no other may have run more
     // than once. No request may get the answer to another one.
-    const deployment = await startSmall({
+    const deployment = await startSmallDeployment({
       controls: 3,
       services: [
         {name: 'crewbook', instances: 4},
@@ -80,7 +80,7 @@
     const timers = createTimers();
     const load = runLoad(
       {
-        targets: deployment.places.map(({settings}) => settings.callerAddress),
+        targets: deployment.instances.map(({settings}) => settings.callerAddress),
         rate: 100,
         count: 3000,
         duration: 30_000,
--- a/scenarios/processes/relays.test.ts
+++ b/scenarios/processes/relays.test.ts
@@ -2,7 +2,7 @@
 import type {ExecutionContext} from 'ava';
 import type {Deployment} from '../../bench/deployment/deployment.js';
 import {connectOperator, setUp} from '../../bench/deployment/setup.js';
-import {startSmall} from '../../bench/deployment/small.js';
+import {startSmallDeployment} from '../../bench/deployment/small-deployment.js';
 import {until} from '../../bench/deployment/until.js';
 import {call} from '../../bench/demo/calls.js';
 
@@ -10,7 +10,7 @@
 const waitTimeout = 60_000;
 
 async function start(t: ExecutionContext): Promise<Deployment> {
-  const deployment = await startSmall({
+  const deployment = await startSmallDeployment({
     controls: 3,
     relays: 2,
     services: [
@@ -18,7 +18,7 @@
       {name: 'drillvault', instances: 1},
     ],
   });
-  t.teardown(deployment.end);
+  t.teardown(deployment.killAll);
   await setUp(deployment, 'examples/agency/setup.fox');
   return deployment;
 }
@@ -37,7 +37,7 @@
 
 async function lookUpEverywhere(deployment: Deployment): Promise<number[]> {
   const statuses = new Set<number>();
-  for (const {settings} of deployment.places) {
+  for (const {settings} of deployment.instances) {
     const reply = await call(settings.callerAddress, '/records/crew-1');
     statuses.add(reply.status);
   }
@@ -82,7 +82,7 @@
     const client = connectOperator(deployment);
     await until('all nodes are connected', waitTimeout, async () => {
       const reply = await client.inForce();
-      return reply.ok && reply.value.summary.nodes === deployment.places.length;
+      return reply.ok && reply.value.summary.nodes === deployment.instances.length;
     });
     await client.close();
     t.is(await change(deployment, 'after'), '');
--- a/scenarios/processes/requests.test.ts
+++ b/scenarios/processes/requests.test.ts
@@ -6,10 +6,10 @@
 import test from 'ava';
 import type {ExecutionContext} from 'ava';
 import {request} from 'undici';
-import type {Deployment, Place} from '../../bench/deployment/deployment.js';
+import type {Deployment, DeployedInstance} from '../../bench/deployment/deployment.js';
 import {setUp} from '../../bench/deployment/setup.js';
-import {startSmall} from '../../bench/deployment/small.js';
-import type {SmallOptions} from '../../bench/deployment/small.js';
+import {startSmallDeployment} from '../../bench/deployment/small-deployment.js';
+import type {SmallDeploymentOptions} from '../../bench/deployment/small-deployment.js';
 import {until} from '../../bench/deployment/until.js';
 import {call, sha256} from '../../bench/demo/calls.js';
 import type {Reply} from '../../bench/demo/calls.js';
@@ -21,9 +21,9 @@
 
 async function start(
   t: ExecutionContext,
-  options: Partial<SmallOptions> = {},
+  options: Partial<SmallDeploymentOptions> = {},
 ): Promise<Deployment> {
-  const deployment = await startSmall({
+  const deployment = await startSmallDeployment({
     controls: 3,
     services: [
       {name: 'crewbook', instances: 3},
@@ -31,13 +31,13 @@
     ],
     ...options,
   });
-  t.teardown(deployment.end);
+  t.teardown(deployment.killAll);
   await setUp(deployment, setUpFile);
   return deployment;
 }
 
-function crewbooks(deployment: Deployment): Place[] {
-  return deployment.places.filter(({service}) => service === 'crewbook');
+function crewbooks(deployment: Deployment): DeployedInstance[] {
+  return deployment.instances.filter(({service}) => service === 'crewbook');
 }
 
 interface Counts {
@@ -47,7 +47,7 @@
   readonly uploads: Readonly<Record<string, string>>;
 }
 
-async function countsOf(place: Place): Promise<Counts> {
+async function countsOf(place: DeployedInstance): Promise<Counts> {
   const answer = await request(`http://${place.upstreamAddress}/counts`);
   return (await answer.body.json()) as Counts;
 }
@@ -57,13 +57,13 @@
   return all.reduce((sum, counts) => sum + (counts.runs[key] ?? 0), 0);
 }
 
-async function sendControl(place: Place, command: string): Promise<void> {
+async function sendControl(place: DeployedInstance, command: string): Promise<void> {
   const url = `http://${place.upstreamAddress}/control/${command}`;
   const answer = await request(url, {method: 'POST'});
   await answer.body.dump();
 }
 
-function issue(place: Place, key: string): Promise<Reply | undefined> {
+function issue(place: DeployedInstance, key: string): Promise<Reply | undefined> {
   return call(place.settings.callerAddress, '/certificates', {
     method: 'POST',
     key,
@@ -76,8 +76,8 @@
 async function findRunning(
   deployment: Deployment,
   key: string,
-): Promise<Place> {
-  let match: Place | undefined;
+): Promise<DeployedInstance> {
+  let match: DeployedInstance | undefined;
   await until(`${key} runs`, waitTimeout, async () => {
     for (const place of crewbooks(deployment)) {
       if ((await countsOf(place)).runs[key] !== undefined) match = place;
@@ -94,7 +94,7 @@
     // beside it is killed and the answer is lost. Resends through the other
     // nodes with the same key must get the effect unknown.
     const deployment = await start(t, {work: 1500});
-    const entry = deployment.places.find(
+    const entry = deployment.instances.find(
       ({service}) => service === 'drillvault',
     )!;
     const first = issue(entry, 'cert-1');
@@ -118,7 +118,7 @@
     // it. The caller resends through another node and must get the answer of
     // the only run.
     const deployment = await start(t, {work: 1500});
-    const entry = deployment.places.find(
+    const entry = deployment.instances.find(
       ({service}) => service === 'drillvault',
     )!;
     const first = issue(entry, 'cert-2');
@@ -137,7 +137,7 @@
     // A certificate is issued and answered; then the node beside its upstream
     // is killed. A resend must get the answer that the keepers store.
     const deployment = await start(t);
-    const entry = deployment.places.find(
+    const entry = deployment.instances.find(
       ({service}) => service === 'drillvault',
     )!;
     const first = await issue(entry, 'cert-3');
@@ -175,7 +175,7 @@
   // client must fail, or get the effect unknown if no byte was forwarded yet. A
   // partial record must never look like a complete short one.
   const deployment = await start(t);
-  const entry = deployment.places.find(
+  const entry = deployment.instances.find(
     ({service}) => service === 'drillvault',
   )!;
   for (const kind of ['cut', 'length', 'reset-after-head']) {
@@ -206,7 +206,7 @@
     {method: 'PUT', body, headers: {'content-length': length}},
   );
   body.write(chunk);
-  const drillvault = deployment.places.find(
+  const drillvault = deployment.instances.find(
     ({service}) => service === 'drillvault',
   )!;
   await until('the upload has begun', waitTimeout, async () => {
@@ -244,7 +244,7 @@
     const deployment = await start(t);
     for (const control of deployment.controls) control.signal('SIGKILL');
     await Promise.all(deployment.controls.map(control => control.ended()));
-    for (const place of deployment.places) {
+    for (const place of deployment.instances) {
       const reply = await call(place.settings.callerAddress, '/records/crew-2');
       t.is(reply.status, 200);
     }
@@ -277,7 +277,7 @@
   const folder = await mkdtemp(join(tmpdir(), 'foxbarrow-upload-'));
   const bytes = Buffer.alloc(4 * 1024 * 1024, 'evacuation');
   await writeFile(join(folder, 'video'), bytes);
-  const drillvault = deployment.places.find(
+  const drillvault = deployment.instances.find(
     ({service}) => service === 'drillvault',
   )!;
   const put = () =>
