--- a/scenarios/processes/control.test.ts
+++ b/scenarios/processes/control.test.ts
@@ -17,7 +17,11 @@
   t: ExecutionContext,
   control: object = {},
 ): Promise<Deployment> {
-  const deployment = await startSmallDeployment({controls: 3, services: [], control});
+  const deployment = await startSmallDeployment({
+    controls: 3,
+    services: [],
+    control,
+  });
   t.teardown(deployment.killAll);
   return deployment;
 }
--- a/scenarios/processes/crashing-request.test.ts
+++ b/scenarios/processes/crashing-request.test.ts
@@ -2,7 +2,10 @@
 import test from 'ava';
 import type {ExecutionContext} from 'ava';
 import {request} from 'undici';
-import type {Deployment, DeployedInstance} from '../../bench/deployment/deployment.js';
+import type {
+  Deployment,
+  DeployedInstance,
+} from '../../bench/deployment/deployment.js';
 import type {Program} from '../../bench/deployment/program.js';
 import {setUp} from '../../bench/deployment/setup.js';
 import {startSmallDeployment} from '../../bench/deployment/small-deployment.js';
--- a/scenarios/processes/distribution.test.ts
+++ b/scenarios/processes/distribution.test.ts
@@ -1,7 +1,10 @@
 import {setTimeout as pause} from 'node:timers/promises';
 import test from 'ava';
 import type {ExecutionContext} from 'ava';
-import type {Deployment, DeployedInstance} from '../../bench/deployment/deployment.js';
+import type {
+  Deployment,
+  DeployedInstance,
+} from '../../bench/deployment/deployment.js';
 import {connectOperator, setUp} from '../../bench/deployment/setup.js';
 import {startSmallDeployment} from '../../bench/deployment/small-deployment.js';
 import {until} from '../../bench/deployment/until.js';
--- a/scenarios/processes/endpoints.test.ts
+++ b/scenarios/processes/endpoints.test.ts
@@ -1,7 +1,10 @@
 import test from 'ava';
 import type {ExecutionContext} from 'ava';
 import {request} from 'undici';
-import type {Deployment, DeployedInstance} from '../../bench/deployment/deployment.js';
+import type {
+  Deployment,
+  DeployedInstance,
+} from '../../bench/deployment/deployment.js';
 import {setUp} from '../../bench/deployment/setup.js';
 import {startSmallDeployment} from '../../bench/deployment/small-deployment.js';
 import {until} from '../../bench/deployment/until.js';
--- a/scenarios/processes/mixed-faults.test.ts
+++ b/scenarios/processes/mixed-faults.test.ts
@@ -80,7 +80,9 @@
     const timers = createTimers();
     const load = runLoad(
       {
-        targets: deployment.instances.map(({settings}) => settings.callerAddress),
+        targets: deployment.instances.map(
+          ({settings}) => settings.callerAddress,
+        ),
         rate: 100,
         count: 3000,
         duration: 30_000,
--- a/scenarios/processes/relays.test.ts
+++ b/scenarios/processes/relays.test.ts
@@ -82,7 +82,9 @@
     const client = connectOperator(deployment);
     await until('all nodes are connected', waitTimeout, async () => {
       const reply = await client.inForce();
-      return reply.ok && reply.value.summary.nodes === deployment.instances.length;
+      return (
+        reply.ok && reply.value.summary.nodes === deployment.instances.length
+      );
     });
     await client.close();
     t.is(await change(deployment, 'after'), '');
--- a/scenarios/processes/requests.test.ts
+++ b/scenarios/processes/requests.test.ts
@@ -6,7 +6,10 @@
 import test from 'ava';
 import type {ExecutionContext} from 'ava';
 import {request} from 'undici';
-import type {Deployment, DeployedInstance} from '../../bench/deployment/deployment.js';
+import type {
+  Deployment,
+  DeployedInstance,
+} from '../../bench/deployment/deployment.js';
 import {setUp} from '../../bench/deployment/setup.js';
 import {startSmallDeployment} from '../../bench/deployment/small-deployment.js';
 import type {SmallDeploymentOptions} from '../../bench/deployment/small-deployment.js';
@@ -57,13 +60,19 @@
   return all.reduce((sum, counts) => sum + (counts.runs[key] ?? 0), 0);
 }
 
-async function sendControl(place: DeployedInstance, command: string): Promise<void> {
+async function sendControl(
+  place: DeployedInstance,
+  command: string,
+): Promise<void> {
   const url = `http://${place.upstreamAddress}/control/${command}`;
   const answer = await request(url, {method: 'POST'});
   await answer.body.dump();
 }
 
-function issue(place: DeployedInstance, key: string): Promise<Reply | undefined> {
+function issue(
+  place: DeployedInstance,
+  key: string,
+): Promise<Reply | undefined> {
   return call(place.settings.callerAddress, '/certificates', {
     method: 'POST',
     key,
--- a/scenarios/processes/restart.test.ts
+++ b/scenarios/processes/restart.test.ts
@@ -44,7 +44,11 @@
   // Frequent snapshots, so that a restarted control process has a state to
   // serve.
   const control = {snapshotEntries: 2};
-  const deployment = await startSmallDeployment({controls: 3, services, control});
+  const deployment = await startSmallDeployment({
+    controls: 3,
+    services,
+    control,
+  });
   t.teardown(deployment.stop);
   return deployment;
 }
