--- a/scenarios/processes/relays.test.ts
+++ b/scenarios/processes/relays.test.ts
@@ -66,28 +66,25 @@
   },
 );
 
-test.serial(
-  'all nodes reconnect at once after an outage of relays and control',
-  async t => {
-    // Both relays and all control processes are killed at the same time and
-    // restarted. Callers must be served throughout. Then all nodes reconnect at
-    // once, and the next change must come into force at each of them.
-    const deployment = await start(t);
-    const all = [...deployment.controls, ...deployment.relays];
-    for (const program of all) program.signal('SIGKILL');
-    await Promise.all(all.map(program => program.ended()));
-    t.deepEqual(await lookUpEverywhere(deployment), [200]);
-    for (const program of all) deployment.restart(program.name);
-    t.deepEqual(await lookUpEverywhere(deployment), [200]);
-    const client = connectOperator(deployment);
-    await until('all nodes are connected', waitTimeout, async () => {
-      const reply = await client.inForce();
-      return (
-        reply.ok && reply.value.summary.nodes === deployment.instances.length
-      );
-    });
-    await client.close();
-    t.is(await change(deployment, 'after'), '');
-    t.deepEqual(await lookUpEverywhere(deployment), [200]);
-  },
-);
+test.serial('all nodes reconnect at once after a control outage', async t => {
+  // Both relays and all control processes are killed at the same time and
+  // restarted. Callers must be served throughout. Then all nodes reconnect at
+  // once, and the next change must come into force at each of them.
+  const deployment = await start(t);
+  const all = [...deployment.controls, ...deployment.relays];
+  for (const program of all) program.signal('SIGKILL');
+  await Promise.all(all.map(program => program.ended()));
+  t.deepEqual(await lookUpEverywhere(deployment), [200]);
+  for (const program of all) deployment.restart(program.name);
+  t.deepEqual(await lookUpEverywhere(deployment), [200]);
+  const client = connectOperator(deployment);
+  await until('all nodes are connected', waitTimeout, async () => {
+    const reply = await client.inForce();
+    return (
+      reply.ok && reply.value.summary.nodes === deployment.instances.length
+    );
+  });
+  await client.close();
+  t.is(await change(deployment, 'after'), '');
+  t.deepEqual(await lookUpEverywhere(deployment), [200]);
+});
--- a/src/admin/admin-server.test.ts
+++ b/src/admin/admin-server.test.ts
@@ -16,7 +16,7 @@
     address: '127.0.0.1:0',
     token: serverToken,
     registry,
-    health: {notReadyReasons: () => reasons},
+    health: {notReady: () => reasons},
     wall: () => 1234,
     actions: {
       drain: async argument => {
@@ -122,7 +122,7 @@
     createAdminServer({
       address: server.address,
       registry: new Registry(),
-      health: {notReadyReasons: () => []},
+      health: {notReady: () => []},
       wall: () => 0,
     }),
   );
--- a/src/admin/admin-server.ts
+++ b/src/admin/admin-server.ts
@@ -15,7 +15,7 @@
   /**
    * Returns the reasons why the process can't take work; empty if it is ready.
    */
-  notReadyReasons(): readonly string[];
+  notReady(): readonly string[];
 }
 
 /**
@@ -111,7 +111,7 @@
     answerJson(response as unknown as ServerResponse, 200, {healthy: true});
   });
   app.get('/ready', (_request, response) => {
-    const reasons = health.notReadyReasons();
+    const reasons = health.notReady();
     const ready = reasons.length === 0;
     answerJson(response as unknown as ServerResponse, ready ? 200 : 503, {
       ready,
--- a/src/burn/scrape.test.ts
+++ b/src/burn/scrape.test.ts
@@ -11,7 +11,7 @@
   const server = await createAdminServer({
     address: '127.0.0.1:0',
     registry,
-    health: {notReadyReasons: () => []},
+    health: {notReady: () => []},
     wall: () => 77,
   });
   const request = {
--- a/src/relay/run.ts
+++ b/src/relay/run.ts
@@ -53,7 +53,7 @@
   home.onReport(host.fleet.receiveReport);
   subscriber.onSwitch(({version}) => admin.metrics.inForce(version));
   const adminServer = await admin.listen({
-    notReadyReasons: () =>
+    notReady: () =>
       subscriber.current() === undefined ? ['no configuration in force'] : [],
   });
   log.info('relay accepts nodes', {address: settings.distributionAddress});
