--- a/scenarios/processes/crashing-request.test.ts
+++ b/scenarios/processes/crashing-request.test.ts
@@ -87,8 +87,8 @@
 ) {
   let turn = 0;
   return (): Promise<Reply> => {
-    const {instances: places} = deployment;
-    const {callerAddress} = places[turn++ % places.length]!.settings;
+    const {instances} = deployment;
+    const {callerAddress} = instances[turn++ % instances.length]!.settings;
     return call(callerAddress, path, callOptions);
   };
 }
--- a/scenarios/processes/relays.test.ts
+++ b/scenarios/processes/relays.test.ts
@@ -79,10 +79,8 @@
   t.deepEqual(await lookUpEverywhere(deployment), [200]);
   const client = connectOperator(deployment);
   await until('all nodes are connected', waitTimeout, async () => {
-    const reply = await client.inForce();
-    return (
-      reply.ok && reply.value.summary.nodes === deployment.instances.length
-    );
+    const view = await client.inForce();
+    return view.ok && view.value.summary.nodes === deployment.instances.length;
   });
   await client.close();
   t.is(await change(deployment, 'after'), '');
