--- a/src/request/decisions/crash-detector.ts
+++ b/src/request/decisions/crash-detector.ts
@@ -15,7 +15,7 @@
   readonly onCrash: (calls: readonly Call[]) => void;
 }
 
-/** Detects the crash of one life of an upstream. */
+/** Detects the crash of one incarnation of an upstream. */
 export interface CrashDetector {
   /** Records that the connection to the upstream failed during the call. */
   lost(call: Call): void;
--- a/src/request/decisions/durations.test.ts
+++ b/src/request/decisions/durations.test.ts
@@ -28,7 +28,10 @@
   for (let count = 0; count < 4_000; count++) {
     durations.add(100 * random.fraction() * 2, 'lookup');
   }
-  const {mean, upperQuartile: mostly} = durations.of('lookup');
+  const {mean, upperQuartile} = durations.of('lookup');
   t.true(mean() > 85 && mean() < 115, String(mean()));
-  t.true(mostly() > 130 && mostly() < 170, String(mostly()));
+  t.true(
+    upperQuartile() > 130 && upperQuartile() < 170,
+    String(upperQuartile()),
+  );
 });
--- a/src/request/decisions/egress-reservations.ts
+++ b/src/request/decisions/egress-reservations.ts
@@ -23,7 +23,8 @@
 /** The reservations on one egress link. */
 export interface EgressReservations {
   /**
-   * Reserved and queued bytes, plus one answer, divided by those sent in time.
+   * Reserved and queued bytes plus one average answer, divided by the bytes
+   * that the link can send in the time that answers have on average.
    */
   readonly load: number;
   /** Whether answers of a kind are large, by their mean size so far. */
@@ -57,7 +58,7 @@
  */
 const sendTimeShare = 0.65;
 
-/** Weight of the newest answer in the moving average of send times. */
+/** Weight of the newest answer in the moving averages. */
 const newestWeight = 0.1;
 
 /** Minimum retry delay in seconds: the time to send one large answer. */
@@ -78,7 +79,10 @@
   let expected = 0;
   /** Number of open reservations by kind. */
   const openCounts = new Map<string, number>();
-  /** Moving averages of the send time in seconds and of the size in bytes. */
+  /**
+   * Moving averages of the time available to send an answer, in seconds, and of
+   * the answer's size in bytes.
+   */
   let averageTime: number | undefined;
   let averageSize = 0;
 
--- a/src/request/decisions/gate-quarantine.ts
+++ b/src/request/decisions/gate-quarantine.ts
@@ -18,7 +18,7 @@
 export interface GateQuarantineOptions {
   /** The configuration in force; undefined until one is proved fresh. */
   readonly configuration: () => Configuration | undefined;
-  /** Life to which trials are assigned; no trials run if absent. */
+  /** Incarnation that trials are assigned to; no trials run if absent. */
   readonly life?: string | undefined;
   /** Whether a process listens at the upstream's address; true by default. */
   readonly isListening?: (() => Promise<boolean>) | undefined;
@@ -42,7 +42,7 @@
   lost(call: Call): void;
 }
 
-/** Creates the quarantine of a gate for one life of its upstream. */
+/** Creates the quarantine of a gate for one incarnation of its upstream. */
 export function createGateQuarantine(
   options: GateQuarantineOptions,
 ): GateQuarantine {
--- a/src/request/decisions/instance-pool.test.ts
+++ b/src/request/decisions/instance-pool.test.ts
@@ -71,7 +71,7 @@
   t.true(shares()['a']! > 0);
 });
 
-test('failures of its previous life do not count against an instance', t => {
+test('failures before a restart do not count against an instance', t => {
   const {endpoints, choose, shares} = setUp(['a', 'b']);
   const target = choose(stockConfiguration, ['b'])!;
   target.began();
--- a/src/request/decisions/request-tracer.ts
+++ b/src/request/decisions/request-tracer.ts
@@ -22,7 +22,10 @@
   | 'cancelled'
   | 'cut';
 
-/** A notable outcome is always logged, a plain one only if it is sampled. */
+/**
+ * Notable outcomes are all logged, as far as the rate limit allows; plain ones
+ * only if they are sampled.
+ */
 export type OutcomeKind = 'plain' | 'notable';
 
 /** The decisions about one request in one process. */
--- a/src/request/decisions/time-limits.test.ts
+++ b/src/request/decisions/time-limits.test.ts
@@ -45,10 +45,9 @@
 });
 
 test('callers whose timeouts vary slightly are held to the objective', t => {
-  // The callers' timeouts are slightly shorter than the route's. If they
-  // counted as calls with an inherited timeout, they would only be held to
-  // their deadline, and with every slot in use each would queue behind others
-  // that are late too.
+  // The callers' timeouts vary below a common maximum. If they counted as
+  // inherited timeouts, the calls would only be held to their deadline, and
+  // with every slot in use each would queue behind others that are late too.
   const {limit} = setUp();
   for (let count = 0; count < 50; count++) limit(680 + ((count * 37) % 120));
   t.is(limit(700).goodUntil, 1_090);
--- a/src/request/decisions/trials.ts
+++ b/src/request/decisions/trials.ts
@@ -1,7 +1,7 @@
-/** Decides which quarantined requests one life of an instance may run. */
+/** Decides which quarantined requests an incarnation may run. */
 import type {Quarantine} from '../../configuration/configuration.js';
 
-/** The trials of one life of an instance. */
+/** The trials of one incarnation of an instance. */
 export interface Trials {
   /** Whether a request in this quarantine may start here now. */
   allows(quarantine: Quarantine): boolean;
@@ -9,7 +9,7 @@
   began(quarantine: Quarantine): void;
 }
 
-/** Creates the trials of a life; no trial is allowed if `life` is undefined. */
+/** Creates the trials of an incarnation; none is allowed if it is undefined. */
 export function createTrials(life: string | undefined): Trials {
   const startedTrials = new Set<string>();
 
--- a/src/request/decisions/upload-slots.ts
+++ b/src/request/decisions/upload-slots.ts
@@ -41,10 +41,10 @@
 export function withUploadSlots(options: UploadSlotsOptions): Admission {
   const {admission, clock} = options;
   if (options.uploadSlots >= options.slots) return admission;
-  // Upload timeouts are several seconds long. On a full link in the order of
-  // arrival, all uploads would wait for that time and be late. If the last one
-  // is served first, as many as the link carries are in time and others are
-  // refused.
+  // Upload timeouts are several seconds long. Served in the order of arrival on
+  // a full link, all uploads would wait for that time and be late. If the last
+  // one is served first, as many as the link carries are in time, and the rest
+  // are refused.
   const uploads = createAdmission({
     slots: options.uploadSlots,
     queueLength: options.queueLength,
--- a/src/request/messages/safeguards.ts
+++ b/src/request/messages/safeguards.ts
@@ -4,7 +4,7 @@
  * them.
  */
 export interface Safeguards {
-  /** A failed call that may have reached its upstream is `unknown`. */
+  /** A failed call that may have reached its upstream has an unknown effect. */
   readonly unknownEffect: boolean;
   /** A call that may have run is retried only if it is idempotent. */
   readonly once: boolean;
@@ -23,7 +23,10 @@
   readonly visibleCuts: boolean;
   /** A gate accepts only calls that are addressed to its instance. */
   readonly instanceCheck: boolean;
-  /** A large upload is sent after its admission, so that it can be retried. */
+  /**
+   * Only the first part of a large upload is sent before its admission, so that
+   * it can be retried.
+   */
   readonly heldUploads: boolean;
   /** A call whose caller has disconnected is cancelled. */
   readonly cancellation: boolean;
--- a/src/request/transport/framed-gate.ts
+++ b/src/request/transport/framed-gate.ts
@@ -1,7 +1,6 @@
 /**
  * The gate's end of the framed links from the entries of other nodes. Each link
- * carries the calls of entryLink entry. When a link ends, its calls are
- * cancelled.
+ * carries the calls of one entry. When a link ends, its calls are cancelled.
  */
 import type {SocketLink} from '../../link/socket-link.js';
 import type {Log} from '../../log/log.js';
@@ -26,7 +25,7 @@
   readonly safeguards: Safeguards;
 }
 
-/** The framed links to entryLink gate. */
+/** The framed links to one gate. */
 export interface FramedGate {
   /** Bytes that wait to be sent on all links. */
   readonly unsent: number;
--- a/src/request/transport/framed-link.ts
+++ b/src/request/transport/framed-link.ts
@@ -27,7 +27,7 @@
   abstract refused(frame: GateFrame & {type: 'refused'}): void;
 
   /**
-   * The link failed; `began` tells whether the gate may have received the call.
+   * The link failed; `began` is whether the gate may have received the call.
    */
   abstract lost(error: Error, began: boolean): void;
 
@@ -204,7 +204,7 @@
     },
     send: (buildFrame, receiver) => {
       const call = ++lastCall;
-      // The gate had no reason to send frames before, so silence starts now.
+      // The gate had nothing to send before, so its silence counts from now.
       if (pendingCalls.size === 0) recordActivity();
       const pendingCall = {
         buildFrame,
--- a/src/request/transport/gate-call.ts
+++ b/src/request/transport/gate-call.ts
@@ -10,7 +10,8 @@
 
 /**
  * Milliseconds for which an entry waits beyond the deadline. The gate answers
- * at the deadline and knows better than the entry whether the request was run.
+ * at the deadline, and can often exclude that the request was run, which the
+ * entry can't.
  */
 export const decisionMargin = 50;
 
@@ -43,7 +44,7 @@
 );
 
 /**
- * The refusal for a call that failed; `began` tells whether the gate may have
+ * The refusal for a call that failed; `began` is whether the gate may have
  * received a part of it.
  */
 export function refusalForFailure(error: Error, began: boolean): Refusal {
--- a/src/request/transport/gate-link.test.ts
+++ b/src/request/transport/gate-link.test.ts
@@ -40,8 +40,8 @@
   return request(`${mesh.url}/bookings`, {method: 'POST', body: 'book'});
 }
 
-for (const {framedLinks, isGuarded: doubt} of hopCases) {
-  test(`a gate lost after the head was sent, effect reported as unknown: ${doubt}, framed links: ${framedLinks}`, async t => {
+for (const {framedLinks, isGuarded: unknownEffect} of hopCases) {
+  test(`a gate lost after the head was sent, effect reported as unknown: ${unknownEffect}, framed links: ${framedLinks}`, async t => {
     // The gate's process crashes after it has received a booking, which may
     // have reached the upstream. If the failure counted as not run, the entry
     // would send the booking to another gate and it would run twice.
@@ -50,15 +50,18 @@
     const mesh = await createMesh({
       upstreams: [() => {}, (_req, res) => (booked++, res.end('booked'))],
       entry: {
-        safeguards: {unknownEffect: doubt, framedLinks},
+        safeguards: {unknownEffect, framedLinks},
         balancer: {choose: candidates => candidates[0]!},
       },
     });
     replaceGate(mesh, crashing.address);
     const answer = await book(mesh);
-    t.is(booked, doubt ? 1 : 2);
-    t.is(answer.headers['foxbarrow-effect'], doubt ? 'unknown' : undefined);
-    t.is(answer.headers['foxbarrow-code'], doubt ? '5011' : undefined);
+    t.is(booked, unknownEffect ? 1 : 2);
+    t.is(
+      answer.headers['foxbarrow-effect'],
+      unknownEffect ? 'unknown' : undefined,
+    );
+    t.is(answer.headers['foxbarrow-code'], unknownEffect ? '5011' : undefined);
     await answer.body.dump();
     await mesh.close();
     await crashing.close();
--- a/src/request/transport/listener.test.ts
+++ b/src/request/transport/listener.test.ts
@@ -166,7 +166,7 @@
 }
 
 test('a stop finishes running requests and serves new ones until the grace period ends', async t => {
-  // A request is running and another connection is open and unused when the
+  // A request is running and another connection is open and idle when the
   // stop begins. Callers need seconds to notice the stop. Until the grace
   // period ends, requests on open and new connections must be served with
   // `connection: close` instead of being cut off. After it no connection is
