--- a/src/request/decisions/attempts.test.ts
+++ b/src/request/decisions/attempts.test.ts
@@ -55,9 +55,9 @@
 }
 
 test('in a chain 11 deep, entries don’t retry a refusal by the lowest entry', async t => {
-  // Only an entry that receives a refusal from its own gate retries. If every
-  // level made three attempts, the lowest entry would receive three to the
-  // eleventh.
+  // Only an entry that receives a refusal from its own gate retries. If each of
+  // the ten levels above made three attempts, the lowest entry would receive
+  // 3^10 calls.
   let lowestCalls = 0;
   const meshes: Mesh[] = [];
   const lowest = await createMesh({
