--- a/src/distribution/admission.test.ts
+++ b/src/distribution/admission.test.ts
@@ -65,11 +65,11 @@
   t.true(postponed.every(after => after >= 1000 && after <= 10_000));
 });
 
-// Guards against nodes that reconnect together and are without a state for half
-// as long again as sending their states takes. Each postponed node gets a delay
-// within the time that all postponed nodes need; a node that has asked again
-// must no longer be counted among them.
-function finishHerd(isReturnReported: boolean): number {
+// Guards against nodes that reconnect together and wait half as long again as
+// sending their states takes. Each postponed node gets a delay within the time
+// that all postponed nodes need; a node that asks again must no longer count as
+// postponed.
+function timeOfLastAdmission(isReturnReported: boolean): number {
   const {timers, admission} = setUp(1000);
   let last = 0;
   const offer = () => {
@@ -91,8 +91,8 @@
 }
 
 test('nodes that reconnect together take no longer than their states need', t => {
-  t.true(finishHerd(false) > 13_000);
-  t.true(finishHerd(true) < 10_200);
+  t.true(timeOfLastAdmission(false) > 13_000);
+  t.true(timeOfLastAdmission(true) < 10_200);
 });
 
 test('a cancelled request is not admitted', t => {
@@ -106,7 +106,7 @@
 // Guards against an accepted change that is late while 150 nodes of a failure
 // domain reconnect. The push to a node that is in step is queued behind all
 // states that its home has sent before, so their size must be bounded.
-async function reconnectHerd(admission: boolean) {
+async function reconnectTogether(admission: boolean) {
   const cluster = createTestCluster();
   const operator = createOperator();
   const names = Array.from({length: 50}, (_, index) => `service-${index}`);
@@ -126,7 +126,7 @@
     else bytesAhead ??= sent;
     return 'deliver';
   });
-  const herd = Array.from({length: 150}, (_, index) =>
+  const returningNodes = Array.from({length: 150}, (_, index) =>
     cluster.node(`node-${index}`, [control.address]),
   );
   await cluster.timers.advanceAsync(5);
@@ -134,14 +134,16 @@
   await cluster.timers.advanceAsync(30);
   const steadyVersion = steady.subscriber.current()!.version;
   await cluster.timers.advanceAsync(30_000);
-  const versions = herd.map(node => node.subscriber.current()?.version);
+  const versions = returningNodes.map(
+    node => node.subscriber.current()?.version,
+  );
   const synced = versions.filter(version => version === 2).length;
   return {bytesAhead: bytesAhead!, steadyVersion, synced};
 }
 
 test('nodes that reconnect together do not delay an accepted change', async t => {
-  const without = await reconnectHerd(false);
-  const within = await reconnectHerd(true);
+  const without = await reconnectTogether(false);
+  const within = await reconnectTogether(true);
   t.is(within.steadyVersion, 2);
   t.true(
     without.bytesAhead > 20 * within.bytesAhead,
@@ -150,6 +152,6 @@
 });
 
 test('each of many nodes that reconnect together is served eventually', async t => {
-  const {synced} = await reconnectHerd(true);
+  const {synced} = await reconnectTogether(true);
   t.is(synced, 150);
 });
--- a/src/distribution/freshness-mark.ts
+++ b/src/distribution/freshness-mark.ts
@@ -1,7 +1,6 @@
-/** Freshness of the state of a home, as its answer to a ping reports it. */
 import type {Pong} from '../fleet/messages.js';
 
-/** Freshness of the state of a home. */
+/** Freshness of the state of a home, as its answer to a ping reports it. */
 export interface FreshnessMark {
   /**
    * Local time at which a quorum last confirmed the state of the home;
--- a/src/distribution/freshness-marks.ts
+++ b/src/distribution/freshness-marks.ts
@@ -1,13 +1,12 @@
-/**
- * Freshness of the state of the attached home and of the local state, derived
- * from pings.
- */
 import type {Ping, Pong} from '../fleet/messages.js';
 import type {Clock} from '../time/clock.js';
 import {freshnessMarkOf} from './freshness-mark.js';
 import type {FreshnessMark} from './freshness-mark.js';
 
-/** Freshness marks of the attached home and of the local state. */
+/**
+ * Tracks the freshness of the attached home and of the local state, derived from
+ * pings.
+ */
 export interface FreshnessMarks {
   /**
    * Discards what is known of the previous home and starts with the first mark
@@ -67,7 +66,7 @@
   readonly overdueAge: number;
 }
 
-/** Creates marks without any information. */
+/** Creates the marks of a process that has no home yet. */
 export function createFreshnessMarks(
   options: FreshnessMarksOptions,
 ): FreshnessMarks {
--- a/src/distribution/in-force.test.ts
+++ b/src/distribution/in-force.test.ts
@@ -135,9 +135,9 @@
     },
   ],
   // Guards against a node that leaves a working home for a suspended one. The
-  // leader is suspended, which is not the home of the node; until there is
-  // another leader no home has a fresh mark. The node is then without a home
-  // when the next change is accepted.
+  // leader, which is another home, is suspended, and no home has a fresh mark
+  // until there is a new leader. The node would then have no home when the next
+  // change is accepted.
   [
     'its home working while a new leader is elected',
     async ({isolate, rejoin, cluster, suspend}) => {
@@ -169,7 +169,7 @@
   t.is(links, 1, 'the first link');
 });
 
-// Guards against a node that takes its home for silent or cut off because large
+// Guards against a node that presumes its home silent or cut off because large
 // bodies fill the link of its own VM, so that all its messages are late. It
 // would change from home to home over the same link and request its state from
 // each.
--- a/src/distribution/proof.test.ts
+++ b/src/distribution/proof.test.ts
@@ -7,7 +7,7 @@
 import type {SubscriberSafeguards} from './subscriber.js';
 
 /**
- * Returns the operator as a control VM sees it that was cut off from the
+ * Returns the operator as seen by a control VM that was cut off from the
  * others.
  */
 function createStale(operator: Operator): Operator {
--- a/src/distribution/section-source.test.ts
+++ b/src/distribution/section-source.test.ts
@@ -62,9 +62,9 @@
   t.true(bytes > 0 && bytes < 16_000, `${bytes} bytes`);
 });
 
-// Guards against an election because the leader of a group seems dead after its
-// first configuration. It applied 2,400 routes and packed their sections in one
-// turn; heartbeats that arrived meanwhile were read only after the election.
+// Guards against a needless election right after the first configuration of a
+// group. If 2,400 routes are applied and their sections packed in one turn,
+// heartbeats that arrive meanwhile are read only after the election timeout.
 test('a change is applied in one turn and packed in a later one', async t => {
   const machine = createSampleMachine();
   const source = deferNotifications(createSectionSource(machine));
--- a/src/distribution/storm.test.ts
+++ b/src/distribution/storm.test.ts
@@ -5,7 +5,7 @@
 // deployment restart while control has no quorum, and refuse requests as not
 // run. Once a quorum answers, all nodes must serve again within seconds,
 // including an accepted change.
-test('a reconnect storm ends with the outage of the source that caused it', async t => {
+test('a reconnect storm ends soon after the quorum outage that caused it', async t => {
   const cluster = createTestCluster();
   const operator = createOperator();
   operator.accept({put: ['crewbook', 'drillvault']});
@@ -39,7 +39,7 @@
 });
 
 // The same after the failure of a relay: its nodes hold the newest version, so
-// that their move costs one digest each and no state.
+// moving them costs one digest each and no state.
 test('nodes of a failed relay move to another one without a new state', async t => {
   const cluster = createTestCluster();
   const operator = createOperator();
--- a/src/distribution/subscriber.ts
+++ b/src/distribution/subscriber.ts
@@ -68,7 +68,7 @@
   current(): Configuration | undefined;
   /** Calls `observe` after each change of the configuration in force. */
   onSwitch(observe: (configuration: Configuration) => void): void;
-  /** Changes the services whose sections are received. */
+  /** Replaces the services whose sections are received. */
   subscribe(services: Interest): void;
   /** Confirms through the home that the state is as new as any accepted one. */
   barrier(): Promise<Result<number>>;
--- a/src/distribution/sync-plan.ts
+++ b/src/distribution/sync-plan.ts
@@ -14,7 +14,7 @@
 
 /**
  * A comparison is made only if it can save this multiple of its cost. If it
- * saves nothing, a quarter more is sent than necessary.
+ * saves nothing, at most a quarter more is sent than necessary.
  */
 const comparisonFactor = 4;
 
--- a/src/distribution/syncer.ts
+++ b/src/distribution/syncer.ts
@@ -28,7 +28,7 @@
   offer(session: Session): void;
   /** Offers again the subscribers whose links were full. */
   retry(): void;
-  /** Removes a subscriber whose link has been closed. */
+  /** Removes a subscriber from those that wait for a synchronization. */
   drop(session: Session): void;
   counts(): SyncCounts;
   stop(): void;
--- a/src/endpoints/convergence.test.ts
+++ b/src/endpoints/convergence.test.ts
@@ -18,7 +18,7 @@
 const stableCount = 8;
 
 /** An instance id, with the node that uses it now, if any. */
-interface Slot {
+interface InstanceSlot {
   readonly name: string;
   readonly region: Region;
   readonly service: string;
@@ -26,30 +26,33 @@
   home: string;
 }
 
-interface World {
+interface TestCluster {
   readonly mesh: FakeMesh;
   readonly random: Random;
   readonly homes: FakeHome[];
-  readonly slots: Slot[];
+  readonly slots: InstanceSlot[];
   readonly callers: FakeNode[];
 }
 
-async function startNode(world: World, slot: Slot): Promise<void> {
-  slot.home = world.random.pick(homesByRegion[slot.region]);
+async function startNode(
+  cluster: TestCluster,
+  slot: InstanceSlot,
+): Promise<void> {
+  slot.home = cluster.random.pick(homesByRegion[slot.region]);
   // Clocks are off by up to a minute in either direction.
-  const clockOffset = world.random.integer(120 * second) - 60 * second;
+  const clockOffset = cluster.random.integer(120 * second) - 60 * second;
   const {name, region, service} = slot;
-  slot.node = await world.mesh.join(slot.home, name, upstream({service}), {
+  slot.node = await cluster.mesh.join(slot.home, name, upstream({service}), {
     region,
     clockOffset,
     services: [],
   });
 }
 
-async function startWorld(
+async function startCluster(
   seed: number,
   options: Partial<RegistryOptions>,
-): Promise<World> {
+): Promise<TestCluster> {
   const mesh = createFakeMesh(1_000_000_000, options);
   const random = createRandom(seed);
   const homes: FakeHome[] = [];
@@ -67,19 +70,19 @@
     node: undefined,
     home: '',
   }));
-  const world = {mesh, random, homes, slots, callers};
-  for (const slot of slots) await startNode(world, slot);
+  const cluster = {mesh, random, homes, slots, callers};
+  for (const slot of slots) await startNode(cluster, slot);
   await mesh.advance(5 * second);
-  return world;
+  return cluster;
 }
 
 /** Crashes, restarts, withdraws, drains or moves one random instance. */
-async function disturb(world: World): Promise<void> {
-  const {random} = world;
+async function disturb(cluster: TestCluster): Promise<void> {
+  const {random} = cluster;
   const slot =
-    world.slots[stableCount + random.integer(instanceCount - stableCount)]!;
+    cluster.slots[stableCount + random.integer(instanceCount - stableCount)]!;
   const {node} = slot;
-  if (node === undefined) return startNode(world, slot);
+  if (node === undefined) return startNode(cluster, slot);
   switch (random.integer(5)) {
     case 0:
       node.kill();
@@ -87,10 +90,10 @@
       return;
     case 1:
       node.kill();
-      return startNode(world, slot);
+      return startNode(cluster, slot);
     case 2:
       node.announcer.withdraw();
-      await world.mesh.advance(3 * second);
+      await cluster.mesh.advance(3 * second);
       node.kill();
       slot.node = undefined;
       return;
@@ -101,12 +104,12 @@
       return;
     default:
       slot.home = random.pick(homesByRegion[slot.region]);
-      return world.mesh.move(node, slot.home);
+      return cluster.mesh.move(node, slot.home);
   }
 }
 
-function setPartition(world: World, isCut: boolean): void {
-  const {network} = world.mesh;
+function setPartition(cluster: TestCluster, isCut: boolean): void {
+  const {network} = cluster.mesh;
   if (!isCut) return network.heal();
   for (const near of homesByRegion.astana) {
     for (const far of homesByRegion.muscat) {
@@ -117,19 +120,19 @@
 }
 
 /** Drops and duplicates some messages without closing links. */
-function disturbMessages(world: World): void {
-  const {random} = world;
-  world.mesh.network.decide(() => {
+function disturbMessages(cluster: TestCluster): void {
+  const {random} = cluster;
+  cluster.mesh.network.decide(() => {
     const chance = random.fraction();
     if (chance < 0.03) return 'drop';
     return chance < 0.06 ? 'double' : 'deliver';
   });
 }
 
-async function churn(world: World, rounds: number): Promise<void> {
+async function churn(cluster: TestCluster, rounds: number): Promise<void> {
   for (let round = 0; round < rounds; round++) {
-    await disturb(world);
-    await world.mesh.advance(world.random.integer(4 * second));
+    await disturb(cluster);
+    await cluster.mesh.advance(cluster.random.integer(4 * second));
   }
 }
 
@@ -137,17 +140,17 @@
 async function runPartition(
   seed: number,
   safeguards: Partial<Safeguards> = {},
-): Promise<World> {
-  const world = await startWorld(seed, {safeguards});
-  disturbMessages(world);
-  await churn(world, 15);
-  setPartition(world, true);
-  await churn(world, 40);
-  setPartition(world, false);
-  await churn(world, 5);
-  world.mesh.network.decide(() => 'deliver');
-  await world.mesh.advance(90 * second);
-  return world;
+): Promise<TestCluster> {
+  const cluster = await startCluster(seed, {safeguards});
+  disturbMessages(cluster);
+  await churn(cluster, 15);
+  setPartition(cluster, true);
+  await churn(cluster, 40);
+  setPartition(cluster, false);
+  await churn(cluster, 5);
+  cluster.mesh.network.decide(() => 'deliver');
+  await cluster.mesh.advance(90 * second);
+  return cluster;
 }
 
 const describe = (home: FakeHome) =>
@@ -158,7 +161,7 @@
 const describeLive = (instances: readonly object[]) =>
   instances.map(one => JSON.stringify({...one, since: 0}));
 
-function haveEqualTables({homes}: World): boolean {
+function haveEqualTables({homes}: TestCluster): boolean {
   const tables = homes.map(home => describe(home).join('\n'));
   return new Set(tables).size === 1;
 }
@@ -170,11 +173,11 @@
     // are lost and duplicated. After the regions reconnect, all homes must have
     // the same table, each node the table of its home, and each live instance the
     // state that it announced last.
-    const world = await runPartition(seed);
-    t.true(haveEqualTables(world));
-    const [home] = world.homes;
-    for (const [index, caller] of world.callers.entries()) {
-      const {registry} = world.homes[index]!;
+    const cluster = await runPartition(seed);
+    t.true(haveEqualTables(cluster));
+    const [home] = cluster.homes;
+    for (const [index, caller] of cluster.callers.entries()) {
+      const {registry} = cluster.homes[index]!;
       for (const service of services) {
         t.deepEqual(
           describeLive(caller.table.instances(service)),
@@ -187,7 +190,7 @@
         .records()
         .map(({announcement}) => [announcement.instance, announcement]),
     );
-    for (const {name, node} of world.slots) {
+    for (const {name, node} of cluster.slots) {
       if (node === undefined) continue;
       t.is(records.get(name)?.state, node.announcer.current()!.state);
     }
@@ -195,16 +198,16 @@
 }
 
 test('without the comparison of digests the tables remain different', async t => {
-  const worlds = [
+  const clusters = [
     await runPartition(1, {comparison: false}),
     await runPartition(2, {comparison: false}),
   ];
-  t.true(worlds.some(world => !haveEqualTables(world)));
+  t.true(clusters.some(cluster => !haveEqualTables(cluster)));
 });
 
 /** A home crashes, its nodes attach to others, and it restarts empty. */
-async function restartHome(world: World): Promise<void> {
-  const {mesh, random, homes, slots, callers} = world;
+async function restartHome(cluster: TestCluster): Promise<void> {
+  const {mesh, random, homes, slots, callers} = cluster;
   const index = random.integer(homes.length);
   const {name} = homes[index]!;
   const region: Region =
@@ -225,11 +228,11 @@
 }
 
 /** Counts how often an undisturbed instance was missing from a caller's table. */
-function watchStable(world: World): () => number {
+function watchStable(cluster: TestCluster): () => number {
   let lost = 0;
-  for (const {table} of world.callers) {
+  for (const {table} of cluster.callers) {
     table.onChange(() => {
-      for (const {name, service} of world.slots.slice(0, stableCount)) {
+      for (const {name, service} of cluster.slots.slice(0, stableCount)) {
         const instances = table.instances(service);
         if (!instances.some(one => one.instance === name)) lost++;
       }
@@ -243,16 +246,16 @@
   seed: number,
   options: Partial<RegistryOptions> = {},
 ) {
-  const world = await startWorld(seed, options);
-  const lost = watchStable(world);
-  disturbMessages(world);
+  const cluster = await startCluster(seed, options);
+  const lost = watchStable(cluster);
+  disturbMessages(cluster);
   for (let round = 0; round < 5; round++) {
-    await churn(world, 4);
-    await restartHome(world);
+    await churn(cluster, 4);
+    await restartHome(cluster);
   }
-  world.mesh.network.decide(() => 'deliver');
-  await world.mesh.advance(90 * second);
-  return {world, lost: lost()};
+  cluster.mesh.network.decide(() => 'deliver');
+  await cluster.mesh.advance(90 * second);
+  return {cluster, lost: lost()};
 }
 
 for (const seed of [1, 2]) {
@@ -262,9 +265,9 @@
     // the eight may be missing from a caller's table at any time, and in the end
     // all tables must be the same. If leases ended with their homes, callers would
     // lose these instances at the first crash.
-    const {world, lost} = await runHomeCrashes(seed);
+    const {cluster, lost} = await runHomeCrashes(seed);
     t.is(lost, 0);
-    t.true(haveEqualTables(world));
+    t.true(haveEqualTables(cluster));
 
     const withoutOrphanLease = await runHomeCrashes(seed, {
       orphanLease: 0,
--- a/src/endpoints/fakes/mesh.ts
+++ b/src/endpoints/fakes/mesh.ts
@@ -91,7 +91,7 @@
 /** Creates homes and nodes on a fake network. */
 export function createFakeMesh(
   start = 1_000_000,
-  safeguards: Partial<RegistryOptions> = {},
+  registryOptions: Partial<RegistryOptions> = {},
 ): FakeMesh {
   const timers = createFakeTimers(start);
   const network = createFakeNetwork(timers);
@@ -108,7 +108,7 @@
       timers,
       log,
       lease,
-      ...safeguards,
+      ...registryOptions,
       ...options,
     });
     const ownNetwork = network.from(name);
--- a/src/endpoints/node-sessions.ts
+++ b/src/endpoints/node-sessions.ts
@@ -8,7 +8,7 @@
 import type {PeerHomes} from './peer-homes.js';
 import type {RecordEntry, RecordStore} from './record-store.js';
 import {createSubscriptions} from './subscriptions.js';
-import type {Subscriber} from './subscriptions.js';
+import type {NodeSubscription} from './subscriptions.js';
 import {convertSince} from './since-conversion.js';
 
 /** Options of `createNodeSessions`; times in milliseconds. */
@@ -41,7 +41,7 @@
   lastReceivedAt: number;
   /** The instance that this node announces. */
   instance: string | undefined;
-  readonly subscriber: Subscriber;
+  readonly subscriber: NodeSubscription;
 }
 
 /** Creates a home's sessions with its nodes. */
--- a/src/endpoints/registry.ts
+++ b/src/endpoints/registry.ts
@@ -18,14 +18,14 @@
   readonly log: Log;
   /** How long a lease lasts after its last renewal. */
   readonly lease: number;
-  /** Maximum rest of a lease after the node's link has closed; default 5000. */
+  /** Maximum remaining lease after the node's link has closed; default 5000. */
   readonly closedLinkLease?: number;
   /**
-   * How long instances whose home has died may take to attach to another home;
+   * How long instances whose home has crashed may take to attach to another home;
    * default three leases.
    */
   readonly orphanLease?: number;
-  /** Share of a service whose leases may expire close together; default 0.25. */
+  /** Share of a service's leases that may expire close together; default 0.25. */
   readonly expiryShare?: number;
   /** Time span in which expiries count for `expiryShare`; default 60,000. */
   readonly expiryWindow?: number;
--- a/src/endpoints/subscriptions.ts
+++ b/src/endpoints/subscriptions.ts
@@ -17,7 +17,7 @@
 }
 
 /** The subscription of one node. */
-export interface Subscriber {
+export interface NodeSubscription {
   /** Sets the subscribed services and sends those that differ from `listed`. */
   subscribe(all: boolean, listed: readonly ServiceDigest[]): void;
   /** Sends the pending changes. */
@@ -30,10 +30,10 @@
 /** Sends nodes the instances of the services that they subscribe to. */
 export interface Subscriptions {
   /** Adds a node without subscribed services. */
-  add(send: (message: HomeMessage) => void): Subscriber;
+  add(send: (message: HomeMessage) => void): NodeSubscription;
 }
 
-interface SubscriberState {
+interface NodeSubscriptionState {
   readonly send: (message: HomeMessage) => void;
   services: ReadonlySet<string> | 'all';
   /** Instances that changed since the last delta. */
@@ -47,19 +47,19 @@
   options: SubscriptionsOptions,
 ): Subscriptions {
   const {timers, store, deltaWindow, isComplete} = options;
-  const byService = new Map<string, Set<SubscriberState>>();
-  const subscribersToAll = new Set<SubscriberState>();
+  const byService = new Map<string, Set<NodeSubscriptionState>>();
+  const subscribersToAll = new Set<NodeSubscriptionState>();
 
   const toMessage = (entry: RecordEntry) =>
     convertSince(toKnownInstance(entry), timers.wall());
 
-  function subscribersOf(service: string): Set<SubscriberState> {
+  function subscribersOf(service: string): Set<NodeSubscriptionState> {
     const set = byService.get(service) ?? new Set();
     byService.set(service, set);
     return set;
   }
 
-  function unsubscribe(subscriber: SubscriberState): void {
+  function unsubscribe(subscriber: NodeSubscriptionState): void {
     subscribersToAll.delete(subscriber);
     if (subscriber.services === 'all') return;
     for (const service of subscriber.services) {
@@ -70,7 +70,7 @@
   }
 
   function subscribe(
-    subscriber: SubscriberState,
+    subscriber: NodeSubscriptionState,
     all: boolean,
     listed: readonly ServiceDigest[],
   ): void {
@@ -92,13 +92,16 @@
     }
   }
 
-  function sendSection(subscriber: SubscriberState, service: string): void {
+  function sendSection(
+    subscriber: NodeSubscriptionState,
+    service: string,
+  ): void {
     const instances = [...store.ofService(service)].map(toMessage);
     const complete = isComplete();
     subscriber.send({kind: 'section', service, complete, instances});
   }
 
-  function digest(subscriber: SubscriberState): Digest {
+  function digest(subscriber: NodeSubscriptionState): Digest {
     if (subscriber.services === 'all') return store.viewDigest();
     let total = emptyDigest;
     for (const service of subscriber.services) {
@@ -107,7 +110,7 @@
     return total;
   }
 
-  function flush(subscriber: SubscriberState): void {
+  function flush(subscriber: NodeSubscriptionState): void {
     subscriber.flush?.cancel();
     subscriber.flush = undefined;
     if (subscriber.pending.size === 0) return;
@@ -120,7 +123,7 @@
     subscriber.send({kind: 'delta', instances});
   }
 
-  function mark(subscriber: SubscriberState, instance: string): void {
+  function mark(subscriber: NodeSubscriptionState, instance: string): void {
     subscriber.pending.add(instance);
     if (subscriber.flush !== undefined) return;
     // The first change after a quiet period is sent at once, others are batched.
@@ -147,7 +150,7 @@
 
   return {
     add(send) {
-      const subscriber: SubscriberState = {
+      const subscriber: NodeSubscriptionState = {
         send,
         services: new Set(),
         pending: new Set(),
--- a/src/fleet/messages.ts
+++ b/src/fleet/messages.ts
@@ -75,7 +75,7 @@
   readonly version: number;
 }
 
-/** Announces that a node closes the link deliberately. */
+/** Sent by a process before it closes its link deliberately. */
 export interface Goodbye {
   readonly kind: 'goodbye';
 }
@@ -91,7 +91,7 @@
   readonly failureDomain: string;
   /** Nodes with an open link. */
   readonly nodes: number;
-  /** Nodes whose link was closed without a goodbye, for a limited time. */
+  /** Nodes whose link was closed without a `Goodbye`, for a limited time. */
   readonly unknown: number;
   /** Names of such nodes; at most 512. */
   readonly lost: readonly string[];
--- a/src/fleet/node-table.ts
+++ b/src/fleet/node-table.ts
@@ -27,7 +27,7 @@
   add(hello: Hello, channels: Channels): NodeEntry;
   /** Removes a node that closed its link deliberately. */
   remove(node: NodeEntry): void;
-  /** Marks a node as lost, whose link was closed without a goodbye. */
+  /** Marks a node as lost after its link was closed without a `Goodbye`. */
   markLost(node: NodeEntry): void;
   members(): Iterable<NodeEntry>;
   /** Removes nodes that were lost long ago. */
--- a/src/keepers/keeper-assigner.test.ts
+++ b/src/keepers/keeper-assigner.test.ts
@@ -150,91 +150,91 @@
 }
 
 test('keyed work runs only after keepers are assigned', async t => {
-  const stage = await start();
-  t.is(await stage.book('early'), 'keepers-unavailable');
-  await stage.timers.advanceAsync(4000);
-  t.is(stage.keepers()!.members.length, 3);
-  t.is(await stage.book('key'), 'granted');
-  t.is(await stage.book('key'), 'run-outcome-unknown');
+  const cluster = await start();
+  t.is(await cluster.book('early'), 'keepers-unavailable');
+  await cluster.timers.advanceAsync(4000);
+  t.is(cluster.keepers()!.members.length, 3);
+  t.is(await cluster.book('key'), 'granted');
+  t.is(await cluster.book('key'), 'run-outcome-unknown');
 });
 
 test('only the leader assigns keepers', async t => {
-  const stage = await start();
-  stage.group.lead('control-2');
-  await stage.timers.advanceAsync(10_000);
-  t.is(stage.keepers(), undefined);
+  const cluster = await start();
+  cluster.group.lead('control-2');
+  await cluster.timers.advanceAsync(10_000);
+  t.is(cluster.keepers(), undefined);
 });
 
 test('an operator who puts the service again does not change its keepers', async t => {
-  const stage = await start();
-  await stage.timers.advanceAsync(4000);
-  const before = stage.keepers();
-  await stage.propose(2);
-  t.deepEqual(stage.keepers(), before);
+  const cluster = await start();
+  await cluster.timers.advanceAsync(4000);
+  const before = cluster.keepers();
+  await cluster.propose(2);
+  t.deepEqual(cluster.keepers(), before);
 });
 
 // Guards against losing a claim when all keepers that voted for it restart one
 // after the other. Each restart loses one keeper's memory; the assigner puts its
 // new incarnation into the set, which copies the claims from the other members.
 test('claims survive the restart of every keeper, one after the other', async t => {
-  const stage = await start();
-  await stage.timers.advanceAsync(4000);
-  t.is(await stage.book('key'), 'granted');
+  const cluster = await start();
+  await cluster.timers.advanceAsync(4000);
+  t.is(await cluster.book('key'), 'granted');
   for (let round = 0; round < 2; round++) {
     for (const name of ['s1', 's2', 's3', 's4']) {
-      stage.stopNode(name);
-      await stage.timers.advanceAsync(200);
-      await stage.startNode(name, Number(name.slice(1)) - 1);
-      await stage.timers.advanceAsync(3000);
+      cluster.stopNode(name);
+      await cluster.timers.advanceAsync(200);
+      await cluster.startNode(name, Number(name.slice(1)) - 1);
+      await cluster.timers.advanceAsync(3000);
     }
   }
-  t.is(await stage.book('key'), 'run-outcome-unknown');
-  t.is(await stage.book('other'), 'granted');
-  t.is(stage.runs.count, 2);
+  t.is(await cluster.book('key'), 'run-outcome-unknown');
+  t.is(await cluster.book('other'), 'granted');
+  t.is(cluster.runs.count, 2);
 });
 
 test('a keeper that crashes and does not return is replaced', async t => {
-  const stage = await start();
-  await stage.timers.advanceAsync(4000);
-  t.is(await stage.book('key'), 'granted');
-  const stopped = stage.memberNames()[0]!;
-  stage.stopNode(stopped);
-  await stage.timers.advanceAsync(8000);
-  t.false(stage.memberNames().includes(stopped));
-  stage.stopNode(stage.memberNames()[0]!);
-  t.is(await stage.book('key'), 'run-outcome-unknown');
+  const cluster = await start();
+  await cluster.timers.advanceAsync(4000);
+  t.is(await cluster.book('key'), 'granted');
+  const stopped = cluster.memberNames()[0]!;
+  cluster.stopNode(stopped);
+  await cluster.timers.advanceAsync(8000);
+  t.false(cluster.memberNames().includes(stopped));
+  cluster.stopNode(cluster.memberNames()[0]!);
+  t.is(await cluster.book('key'), 'run-outcome-unknown');
 });
 
 // Guards against running a booking twice after two of three keepers restart
 // together and lose its claim. A resend is refused as not run with the code
 // `keepers-lost` until the retention time has passed.
 test('keyed work is refused for the retention time after two keepers restart at once', async t => {
-  const stage = await start();
-  await stage.timers.advanceAsync(4000);
-  t.is(await stage.book('key'), 'granted');
-  for (const name of stage.memberNames().slice(0, 2)) {
-    stage.stopNode(name);
-    await stage.startNode(name, Number(name.slice(1)) - 1);
+  const cluster = await start();
+  await cluster.timers.advanceAsync(4000);
+  t.is(await cluster.book('key'), 'granted');
+  for (const name of cluster.memberNames().slice(0, 2)) {
+    cluster.stopNode(name);
+    await cluster.startNode(name, Number(name.slice(1)) - 1);
   }
-  await stage.timers.advanceAsync(3000);
-  t.is(await stage.book('key'), 'keepers-lost');
-  t.is(stage.runs.count, 1);
-  await stage.timers.advanceAsync(quarantineDuration(retention));
-  t.is(await stage.book('later'), 'granted');
+  await cluster.timers.advanceAsync(3000);
+  t.is(await cluster.book('key'), 'keepers-lost');
+  t.is(cluster.runs.count, 1);
+  await cluster.timers.advanceAsync(quarantineDuration(retention));
+  t.is(await cluster.book('later'), 'granted');
 });
 
 /** Restarts two keepers' nodes as planned stops, directly one after the other. */
 async function restartTwo(inHurry: boolean): Promise<string> {
-  const stage = await start(5);
-  await stage.timers.advanceAsync(4000);
-  await stage.book('key');
-  for (const name of stage.memberNames().slice(0, 2)) {
-    await stage.drainNode(name, inHurry);
-    stage.stopNode(name);
-    await stage.startNode(name, Number(name.slice(1)) - 1);
+  const cluster = await start(5);
+  await cluster.timers.advanceAsync(4000);
+  await cluster.book('key');
+  for (const name of cluster.memberNames().slice(0, 2)) {
+    await cluster.drainNode(name, inHurry);
+    cluster.stopNode(name);
+    await cluster.startNode(name, Number(name.slice(1)) - 1);
   }
-  await stage.timers.advanceAsync(3000);
-  return stage.book('key');
+  await cluster.timers.advanceAsync(3000);
+  return cluster.book('key');
 }
 
 // Guards against an upgrade that restarts two nodes and makes keyed work of the
@@ -246,12 +246,12 @@
 });
 
 test('an operator can accept the loss, after which keyed work runs at once', async t => {
-  const stage = await start(6);
-  await stage.timers.advanceAsync(4000);
-  for (const name of stage.memberNames().slice(0, 2)) stage.stopNode(name);
-  await stage.timers.advanceAsync(8000);
-  t.is(await stage.book('key'), 'keepers-unavailable');
-  const accepted = await stage.assigner.acceptLoss(service);
+  const cluster = await start(6);
+  await cluster.timers.advanceAsync(4000);
+  for (const name of cluster.memberNames().slice(0, 2)) cluster.stopNode(name);
+  await cluster.timers.advanceAsync(8000);
+  t.is(await cluster.book('key'), 'keepers-unavailable');
+  const accepted = await cluster.assigner.acceptLoss(service);
   t.true(accepted.ok);
-  t.is(await stage.book('key'), 'granted');
+  t.is(await cluster.book('key'), 'granted');
 });
--- a/src/keepers/keeper-assigner.ts
+++ b/src/keepers/keeper-assigner.ts
@@ -63,7 +63,7 @@
 /** Milliseconds to wait for keepers to confirm that they hold claims. */
 const inquiryTimeout = 300;
 
-/** Creates the assigner of a control process; it is idle unless it leads. */
+/** Creates the assigner of a control process; it is idle on a follower. */
 export function createKeeperAssigner(
   options: KeeperAssignerOptions,
 ): KeeperAssigner {
--- a/src/keepers/plan.test.ts
+++ b/src/keepers/plan.test.ts
@@ -6,7 +6,7 @@
   planKeepers,
   quarantineDuration,
 } from './plan.js';
-import type {Plan, ServiceView} from './plan.js';
+import type {KeeperPlan, ServiceView} from './plan.js';
 
 const retention = 60_000;
 
@@ -56,7 +56,7 @@
   };
 }
 
-function expectSet(plan: Plan): KeeperAssignment {
+function expectSet(plan: KeeperPlan): KeeperAssignment {
   if (plan.kind !== 'appoint') throw new Error(plan.kind);
   return plan.next;
 }
@@ -200,7 +200,7 @@
 function planWithKeepers(
   address: (name: string) => string,
   incarnation: number,
-): Plan {
+): KeeperPlan {
   const current = expectSet(planKeepers(view({instances: fifthIncarnations})));
   let instances: KnownInstance[] = [...fifthIncarnations];
   for (const {instance: name} of current.members.slice(0, 2)) {
--- a/src/keepers/plan.ts
+++ b/src/keepers/plan.ts
@@ -46,13 +46,13 @@
  *   set, that one must hold claims first.
  * - `stuck`: a majority of members is unreachable and may still be alive.
  */
-export type Plan =
+export type KeeperPlan =
   | {readonly kind: 'none'}
   | {readonly kind: 'appoint'; readonly next: KeeperAssignment}
   | {readonly kind: 'stuck'; readonly missing: readonly string[]};
 
 /** Plans the keepers of one service. */
-export function planKeepers(view: ServiceView): Plan {
+export function planKeepers(view: ServiceView): KeeperPlan {
   if (view.current === undefined) return planFirst(view);
   const {current, instances} = view;
   const byAddress = new Map(
@@ -80,7 +80,7 @@
   return {epoch: view.nextEpoch, members};
 }
 
-function planFirst(view: ServiceView): Plan {
+function planFirst(view: ServiceView): KeeperPlan {
   const candidates = candidatesOf(view);
   const size = candidates.length >= fullSetSize ? fullSetSize : 1;
   if (candidates.length === 0 || !view.isSettled) return {kind: 'none'};
@@ -93,7 +93,10 @@
  * old set can never have a majority again, so its claims no longer matter once
  * the retention time has passed.
  */
-function planAfterLoss(view: ServiceView, current: KeeperAssignment): Plan {
+function planAfterLoss(
+  view: ServiceView,
+  current: KeeperAssignment,
+): KeeperPlan {
   const candidates = candidatesOf(view);
   const members = chooseMembers([], candidates, fullSetSize);
   const isSmaller =
@@ -112,7 +115,7 @@
   view: ServiceView,
   current: KeeperAssignment,
   unusable: readonly Keeper[],
-): Plan {
+): KeeperPlan {
   const leaving = unusable[0] ?? findLeaving(view, current);
   const isFull = current.members.length >= fullSetSize;
   // Most services return here at every check, so nothing else is computed first.
@@ -134,7 +137,7 @@
   };
 }
 
-/** A member that is draining, or that needlessly shares a failure domain. */
+/** Finds a member that is draining or needlessly shares a failure domain. */
 function findLeaving(
   view: ServiceView,
   {members}: KeeperAssignment,
@@ -160,7 +163,7 @@
   );
 }
 
-/** Adds candidates to the staying members, unused failure domains first. */
+/** Adds candidates to the staying members, preferring unused failure domains. */
 function chooseMembers(
   staying: readonly Keeper[],
   candidates: readonly Keeper[],
--- a/src/quarantine/evidence-exchange.ts
+++ b/src/quarantine/evidence-exchange.ts
@@ -19,7 +19,7 @@
 export interface EvidenceExchange {
   /** Receives evidence from a node; nothing is sent to it. */
   accept(channels: Channels): void;
-  /** Exchanges all evidence with another home, a relay or its control process. */
+  /** Exchanges all evidence with a relay or a control process. */
   peer(channels: Channels): void;
   /** Calls `observe` with each piece of evidence that this home has not seen. */
   onEvidence(observe: (evidence: Evidence) => void): void;
--- a/src/quarantine/evidence-reporter.ts
+++ b/src/quarantine/evidence-reporter.ts
@@ -14,9 +14,9 @@
 export interface EvidenceReporter {
   /** Uses this link from now on and sends recent evidence over it. */
   attach(channels: Channels): void;
-  /** Reports that the node's instance crashed while these requests ran. */
+  /** Reports that the incarnation `life` crashed while these requests ran. */
   crashed(life: string, suspects: readonly Suspect[]): void;
-  /** Reports that the node's instance answered a quarantined request. */
+  /** Reports that the node's instance answered the quarantined request `name`. */
   answered(name: string): void;
 }
 
--- a/src/quarantine/messages.ts
+++ b/src/quarantine/messages.ts
@@ -30,7 +30,7 @@
   readonly name: string;
 }
 
-/** An observation of a node. */
+/** Evidence of either kind. */
 export type Evidence = CrashEvidence | AnswerEvidence;
 
 /** The identifier of one incarnation of an instance: `instance/incarnation`. */
--- a/src/quarantine/plan.ts
+++ b/src/quarantine/plan.ts
@@ -34,7 +34,7 @@
 }
 
 /** The change of a request's quarantine: put it, remove it, or keep it as is. */
-export type Plan =
+export type QuarantinePlan =
   | {readonly kind: 'put'; readonly quarantine: Quarantine}
   | {readonly kind: 'remove'; readonly reason: RemovalReason}
   | {readonly kind: 'keep'};
@@ -42,10 +42,10 @@
 /** Why a quarantine is removed. */
 export type RemovalReason = 'answered' | 'expired' | 'no service' | 'no room';
 
-/** Number of crashes from which on all nodes watch a request. */
+/** Number of crashes after which all nodes watch a request. */
 const watchCrashes = 2;
 
-/** Number of crashes from which on a request is held. */
+/** Number of crashes after which a request is held. */
 const holdCrashes = 3;
 
 /**
@@ -65,13 +65,13 @@
  */
 const trialDelays: readonly number[] = [3_000, 600_000, 3_600_000];
 
-/** Milliseconds after which a held request without a trial is released. */
+/** Milliseconds in the held state after which a request is released. */
 const maxHold = 86_400_000;
 
 /** Maximum number of ended incarnations listed in a quarantine. */
 const maxListedIncarnations = 8;
 
-const keep: Plan = {kind: 'keep'};
+const keep: QuarantinePlan = {kind: 'keep'};
 
 /** Safeguards that a test can turn off to show the failure that each prevents. */
 export interface QuarantineSafeguards {
@@ -86,7 +86,7 @@
 export function planQuarantine(
   input: PlanInput,
   safeguards: QuarantineSafeguards = allQuarantineSafeguards,
-): Plan {
+): QuarantinePlan {
   const {quarantine, record} = input;
   if (quarantine === undefined) return planFirst(input);
   if (!input.hasService) return {kind: 'remove', reason: 'no service'};
@@ -101,7 +101,7 @@
   }
 }
 
-function planFirst({record, hasService, wall}: PlanInput): Plan {
+function planFirst({record, hasService, wall}: PlanInput): QuarantinePlan {
   const suspect = record?.suspect;
   if (record === undefined || suspect === undefined) return keep;
   if (!hasService || record.endedIncarnations.size < watchCrashes) return keep;
@@ -118,7 +118,7 @@
   quarantine: Quarantine,
   input: PlanInput,
   {watch}: QuarantineSafeguards,
-): Plan {
+): QuarantinePlan {
   const {age, wall} = input;
   const ended = allEndedIncarnations(quarantine, input);
   const wasWatchedLongEnough = !watch || age >= minWatch;
@@ -133,7 +133,7 @@
   return age > maxWatch ? {kind: 'remove', reason: 'expired'} : keep;
 }
 
-function planHeld(quarantine: Quarantine, input: PlanInput): Plan {
+function planHeld(quarantine: Quarantine, input: PlanInput): QuarantinePlan {
   const {age, wall, servingIncarnations} = input;
   if (age > maxHold) return {kind: 'remove', reason: 'expired'};
   const delay = trialDelays[quarantine.trials];
@@ -149,7 +149,7 @@
   });
 }
 
-function planOnTrial(quarantine: Quarantine, input: PlanInput): Plan {
+function planOnTrial(quarantine: Quarantine, input: PlanInput): QuarantinePlan {
   const {trialAt, ...rest} = quarantine;
   const {wall, servingIncarnations} = input;
   const ended = allEndedIncarnations(quarantine, input);
@@ -186,6 +186,6 @@
   return incarnations.slice(-maxListedIncarnations);
 }
 
-function put(quarantine: Quarantine): Plan {
+function put(quarantine: Quarantine): QuarantinePlan {
   return {kind: 'put', quarantine};
 }
--- a/src/quarantine/quarantine-controller.test.ts
+++ b/src/quarantine/quarantine-controller.test.ts
@@ -130,110 +130,114 @@
   };
 }
 
-type Stage = Awaited<ReturnType<typeof start>>;
+type TestCluster = Awaited<ReturnType<typeof start>>;
 
 /** Reports one crash at each node, each observed by that node only. */
-function crashAtEachNode({nodes}: Stage, digest = name, life = 1): void {
+function crashAtEachNode(
+  {nodes}: TestCluster,
+  digest = name,
+  incarnation = 1,
+): void {
   for (const [index, node] of nodes.entries()) {
-    node.crashed(`c-${index + 1}/${life}`, [suspectOf(digest)]);
+    node.crashed(`c-${index + 1}/${incarnation}`, [suspectOf(digest)]);
   }
 }
 
 test('crashes reported by three nodes at three homes are counted together, and every control process applies the quarantine in time', async t => {
-  const stage = await start();
-  crashAtEachNode(stage);
-  await stage.pass(500);
-  t.is(stage.stateOf(), 'watched');
-  await stage.pass(decisionTime - 500);
-  for (const control of controls) t.is(stage.stateOf(name, control), 'held');
+  const cluster = await start();
+  crashAtEachNode(cluster);
+  await cluster.pass(500);
+  t.is(cluster.stateOf(), 'watched');
+  await cluster.pass(decisionTime - 500);
+  for (const control of controls) t.is(cluster.stateOf(name, control), 'held');
 });
 
 test('a crash that is reported twice counts once', async t => {
-  const stage = await start();
-  const [first] = stage.nodes;
+  const cluster = await start();
+  const [first] = cluster.nodes;
   first!.crashed('c-1/1', [suspectOf(name)]);
   // The node reports it again after each move to another home.
   await first!.attach('control-2');
   await first!.attach('control-3');
-  await stage.pass(decisionTime);
-  t.is(stage.stateOf(), undefined);
+  await cluster.pass(decisionTime);
+  t.is(cluster.stateOf(), undefined);
 });
 
 test('a crash reported to a home that is cut off is reported again to the next home', async t => {
-  const stage = await start();
+  const cluster = await start();
   for (const otherControl of ['control-1', 'control-2']) {
-    stage.network.cut('control-3', otherControl);
+    cluster.network.cut('control-3', otherControl);
   }
-  crashAtEachNode(stage);
-  await stage.pass(500);
-  t.is(stage.stateOf(), 'watched');
-  await stage.nodes[2]!.attach('control-2');
-  await stage.pass(2_000);
-  t.is(stage.stateOf(), 'held');
+  crashAtEachNode(cluster);
+  await cluster.pass(500);
+  t.is(cluster.stateOf(), 'watched');
+  await cluster.nodes[2]!.attach('control-2');
+  await cluster.pass(2_000);
+  t.is(cluster.stateOf(), 'held');
 });
 
 test('a new leader has the evidence that the previous leader received', async t => {
-  const stage = await start();
-  stage.nodes[0]!.crashed('c-1/1', [suspectOf(name)]);
-  await stage.pass(100);
-  stage.group.lead('control-3');
-  stage.nodes[1]!.crashed('c-2/1', [suspectOf(name)]);
-  stage.nodes[2]!.crashed('c-3/1', [suspectOf(name)]);
-  await stage.pass(decisionTime);
-  t.is(stage.stateOf(), 'held');
+  const cluster = await start();
+  cluster.nodes[0]!.crashed('c-1/1', [suspectOf(name)]);
+  await cluster.pass(100);
+  cluster.group.lead('control-3');
+  cluster.nodes[1]!.crashed('c-2/1', [suspectOf(name)]);
+  cluster.nodes[2]!.crashed('c-3/1', [suspectOf(name)]);
+  await cluster.pass(decisionTime);
+  t.is(cluster.stateOf(), 'held');
 });
 
 test('a node that restarts without evidence does not change a quarantine', async t => {
-  const stage = await start();
-  crashAtEachNode(stage);
-  await stage.pass(decisionTime);
-  await stage.startNode('node-1', 'control-1');
-  await stage.pass(decisionTime);
-  t.is(stage.stateOf(), 'held');
+  const cluster = await start();
+  crashAtEachNode(cluster);
+  await cluster.pass(decisionTime);
+  await cluster.startNode('node-1', 'control-1');
+  await cluster.pass(decisionTime);
+  t.is(cluster.stateOf(), 'held');
 });
 
 for (const watch of [true, false]) {
   test(`a request answered 0.4 s after three simultaneous crashes, with minimum watch time: ${watch}`, async t => {
-    const stage = await start(256, {watch});
-    crashAtEachNode(stage);
-    await stage.pass(400);
-    t.is(stage.stateOf(), watch ? 'watched' : 'held');
-    stage.nodes[0]!.answered(name);
-    await stage.pass(decisionTime);
-    t.is(stage.stateOf(), undefined);
+    const cluster = await start(256, {watch});
+    crashAtEachNode(cluster);
+    await cluster.pass(400);
+    t.is(cluster.stateOf(), watch ? 'watched' : 'held');
+    cluster.nodes[0]!.answered(name);
+    await cluster.pass(decisionTime);
+    t.is(cluster.stateOf(), undefined);
   });
 }
 
 test('a request that is answered between crashes is not held', async t => {
-  const stage = await start();
+  const cluster = await start();
   for (let round = 1; round <= 8; round++) {
-    crashAtEachNode(stage, name, round);
-    await stage.pass(400);
-    t.not(stage.stateOf(), 'held');
-    if (stage.stateOf() === 'watched') stage.nodes[0]!.answered(name);
-    await stage.pass(1_700);
-    t.is(stage.stateOf(), undefined);
+    crashAtEachNode(cluster, name, round);
+    await cluster.pass(400);
+    t.not(cluster.stateOf(), 'held');
+    if (cluster.stateOf() === 'watched') cluster.nodes[0]!.answered(name);
+    await cluster.pass(1_700);
+    t.is(cluster.stateOf(), undefined);
   }
 });
 
 test('a request that another instance answers around each crash is not watched', async t => {
-  const stage = await start();
-  for (let life = 1; life <= 4; life++) {
+  const cluster = await start();
+  for (let incarnation = 1; incarnation <= 4; incarnation++) {
     // The answer may be reported before the crash.
-    if (life % 2 === 0) stage.nodes[1]!.answered(name);
-    stage.nodes[0]!.crashed(`c-1/${life}`, [suspectOf(name)]);
-    if (life % 2 === 1) stage.nodes[1]!.answered(name);
-    await stage.pass(decisionTime);
-    t.is(stage.stateOf(), undefined);
+    if (incarnation % 2 === 0) cluster.nodes[1]!.answered(name);
+    cluster.nodes[0]!.crashed(`c-1/${incarnation}`, [suspectOf(name)]);
+    if (incarnation % 2 === 1) cluster.nodes[1]!.answered(name);
+    await cluster.pass(decisionTime);
+    t.is(cluster.stateOf(), undefined);
   }
 });
 
 test('an answer removes a quarantine after all control processes have restarted', async t => {
-  const stage = await start();
-  crashAtEachNode(stage);
-  await stage.pass(decisionTime);
+  const cluster = await start();
+  crashAtEachNode(cluster);
+  await cluster.pass(decisionTime);
   const again = await start();
-  const {quarantines} = stage.group.machine('control-1').current();
+  const {quarantines} = cluster.group.machine('control-1').current();
   await again.put(quarantines.get(name)!);
   t.is(again.stateOf(), 'held');
   again.nodes[0]!.answered(name);
@@ -242,129 +246,130 @@
 });
 
 test('a jump of the wall clock does not change when a request is held', async t => {
-  const stage = await start();
-  stage.nodes[0]!.crashed('c-1/1', [suspectOf(name)]);
-  stage.nodes[1]!.crashed('c-2/1', [suspectOf(name)]);
-  await stage.pass(100);
-  stage.jump(-2_400_000);
-  stage.nodes[2]!.crashed('c-3/1', [suspectOf(name)]);
-  await stage.pass(500);
-  t.is(stage.stateOf(), 'watched');
-  stage.jump(4_800_000);
-  await stage.pass(100);
-  t.is(stage.stateOf(), 'watched');
-  await stage.pass(1_000);
-  t.is(stage.stateOf(), 'held');
+  const cluster = await start();
+  cluster.nodes[0]!.crashed('c-1/1', [suspectOf(name)]);
+  cluster.nodes[1]!.crashed('c-2/1', [suspectOf(name)]);
+  await cluster.pass(100);
+  cluster.jump(-2_400_000);
+  cluster.nodes[2]!.crashed('c-3/1', [suspectOf(name)]);
+  await cluster.pass(500);
+  t.is(cluster.stateOf(), 'watched');
+  cluster.jump(4_800_000);
+  await cluster.pass(100);
+  t.is(cluster.stateOf(), 'watched');
+  await cluster.pass(1_000);
+  t.is(cluster.stateOf(), 'held');
 });
 
 test('a held request is tried on one incarnation, and held again when that crashes', async t => {
-  const stage = await start();
-  stage.instances.push(serving('c-4', 7));
-  crashAtEachNode(stage);
-  await stage.pass(decisionTime + 10_000);
+  const cluster = await start();
+  cluster.instances.push(serving('c-4', 7));
+  crashAtEachNode(cluster);
+  await cluster.pass(decisionTime + 10_000);
   const quarantine = () =>
-    stage.group.machine('control-1').current().quarantines.get(name);
+    cluster.group.machine('control-1').current().quarantines.get(name);
   t.is(quarantine()?.trialAt, 'c-4/7');
-  stage.nodes[0]!.crashed('c-4/7', [suspectOf(name)]);
-  await stage.pass(500);
+  cluster.nodes[0]!.crashed('c-4/7', [suspectOf(name)]);
+  await cluster.pass(500);
   t.is(quarantine()?.state, 'held');
   t.is(quarantine()?.trials, 1);
-  await stage.pass(60_000);
+  await cluster.pass(60_000);
   t.is(quarantine()?.state, 'held');
 });
 
 test('crashes before an operator removed the quarantine no longer count', async t => {
-  const stage = await start();
-  crashAtEachNode(stage);
-  await stage.pass(decisionTime);
-  await stage.release(name);
-  await stage.pass(decisionTime);
-  t.is(stage.stateOf(), undefined);
-  crashAtEachNode(stage, name, 2);
-  await stage.pass(decisionTime);
-  t.is(stage.stateOf(), 'held');
+  const cluster = await start();
+  crashAtEachNode(cluster);
+  await cluster.pass(decisionTime);
+  await cluster.release(name);
+  await cluster.pass(decisionTime);
+  t.is(cluster.stateOf(), undefined);
+  crashAtEachNode(cluster, name, 2);
+  await cluster.pass(decisionTime);
+  t.is(cluster.stateOf(), 'held');
 });
 
 test('a held request is not removed to make room for a watched one', async t => {
-  const stage = await start(1);
-  crashAtEachNode(stage);
-  await stage.pass(decisionTime);
-  t.is(stage.stateOf(), 'held');
-  stage.nodes[0]!.crashed('c-1/2', [suspectOf(other)]);
-  stage.nodes[1]!.crashed('c-2/2', [suspectOf(other)]);
-  await stage.pass(500);
-  t.is(stage.stateOf(), 'held');
+  const cluster = await start(1);
+  crashAtEachNode(cluster);
+  await cluster.pass(decisionTime);
+  t.is(cluster.stateOf(), 'held');
+  cluster.nodes[0]!.crashed('c-1/2', [suspectOf(other)]);
+  cluster.nodes[1]!.crashed('c-2/2', [suspectOf(other)]);
+  await cluster.pass(500);
+  t.is(cluster.stateOf(), 'held');
 });
 
 test('a crash that a node reports through a relay counts', async t => {
-  const stage = await start();
-  const node = await stage.startBehindRelay('node-9', 'control-3');
+  const cluster = await start();
+  const node = await cluster.startBehindRelay('node-9', 'control-3');
   node.crashed('c-8/1', [suspectOf(name)]);
   node.crashed('c-9/1', [suspectOf(name)]);
-  await stage.pass(500);
-  t.is(stage.stateOf(), 'watched');
+  await cluster.pass(500);
+  t.is(cluster.stateOf(), 'watched');
 });
 
 test('answers of many nodes to a frequent request do not displace reports of crashes', async t => {
-  const stage = await start();
-  const [crashed] = stage.nodes;
+  const cluster = await start();
+  const [crashed] = cluster.nodes;
   const many = await Promise.all(
     Array.from({length: 250}, (_, at) =>
-      stage.startNode(`hot-${at}`, 'control-1'),
+      cluster.startNode(`hot-${at}`, 'control-1'),
     ),
   );
   for (const node of many) node.answered(other);
   crashed!.crashed('c-1/1', [suspectOf(name)]);
   crashed!.crashed('c-2/1', [suspectOf(name)]);
-  await stage.pass(500);
-  t.is(stage.stateOf(), 'watched');
+  await cluster.pass(500);
+  t.is(cluster.stateOf(), 'watched');
 });
 
 test('when held requests use the whole limit, another request waits and their trials continue', async t => {
-  const stage = await start(1);
-  stage.instances.push(serving('c-4', 7));
-  crashAtEachNode(stage);
-  await stage.pass(decisionTime);
-  stage.nodes[0]!.crashed('c-1/2', [suspectOf(other)]);
-  stage.nodes[1]!.crashed('c-2/2', [suspectOf(other)]);
-  await stage.pass(decisionTime);
-  t.is(stage.stateOf(), 'on-trial');
-  t.is(stage.stateOf(other), undefined);
-  const warnings = stage.lines.filter(
+  const cluster = await start(1);
+  cluster.instances.push(serving('c-4', 7));
+  crashAtEachNode(cluster);
+  await cluster.pass(decisionTime);
+  cluster.nodes[0]!.crashed('c-1/2', [suspectOf(other)]);
+  cluster.nodes[1]!.crashed('c-2/2', [suspectOf(other)]);
+  await cluster.pass(decisionTime);
+  t.is(cluster.stateOf(), 'on-trial');
+  t.is(cluster.stateOf(other), undefined);
+  const warnings = cluster.lines.filter(
     ({message}) => message === 'no room for quarantines',
   );
   t.is(warnings.length, 1);
 });
 
 test('a trial that crashes its instance ends, however many crashes came before', async t => {
-  const stage = await start();
-  for (let life = 1; life <= 8; life++) crashAtEachNode(stage, name, life);
-  stage.instances.push(serving('c-4', 7));
-  await stage.pass(decisionTime + 3_000);
-  stage.nodes[0]!.crashed('c-4/7', [suspectOf(name)]);
-  stage.instances.push(serving('c-5', 1));
-  await stage.pass(500);
-  t.is(stage.stateOf(), 'held');
+  const cluster = await start();
+  for (let incarnation = 1; incarnation <= 8; incarnation++)
+    crashAtEachNode(cluster, name, incarnation);
+  cluster.instances.push(serving('c-4', 7));
+  await cluster.pass(decisionTime + 3_000);
+  cluster.nodes[0]!.crashed('c-4/7', [suspectOf(name)]);
+  cluster.instances.push(serving('c-5', 1));
+  await cluster.pass(500);
+  t.is(cluster.stateOf(), 'held');
 });
 
 test('an invalid piece of evidence is rejected and logged', async t => {
-  const stage = await start();
-  const before = stage.lines.length;
-  stage.nodes[0]!.crashed('c-1/1', [{...suspectOf(name), name: 'no digest'}]);
-  await stage.pass(100);
-  t.is(stage.lines[before]?.message, 'evidence refused');
+  const cluster = await start();
+  const before = cluster.lines.length;
+  cluster.nodes[0]!.crashed('c-1/1', [{...suspectOf(name), name: 'no digest'}]);
+  await cluster.pass(100);
+  t.is(cluster.lines[before]?.message, 'evidence refused');
 });
 
 test('a thousand crashes at once do not exceed the rate of forwarded evidence', async t => {
-  const stage = await start();
+  const cluster = await start();
   for (let count = 0; count < 1_000; count++) {
-    stage.nodes[0]!.crashed(`c-${count}/1`, [suspectOf(other)]);
+    cluster.nodes[0]!.crashed(`c-${count}/1`, [suspectOf(other)]);
   }
-  await stage.pass(2_000);
-  stage.nodes[0]!.crashed('c-1/2', []);
+  await cluster.pass(2_000);
+  cluster.nodes[0]!.crashed('c-1/2', []);
   await settle();
-  await stage.pass(100);
-  t.true(stage.lines.some(({message}) => message === 'evidence left out'));
+  await cluster.pass(100);
+  t.true(cluster.lines.some(({message}) => message === 'evidence left out'));
 });
 
 function serving(instance: string, incarnation: number): Announcement {
--- a/src/quarantine/quarantine-controller.ts
+++ b/src/quarantine/quarantine-controller.ts
@@ -16,7 +16,7 @@
 import {incarnationId} from './messages.js';
 import type {Evidence} from './messages.js';
 import {planQuarantine} from './plan.js';
-import type {Plan, QuarantineSafeguards} from './plan.js';
+import type {QuarantinePlan, QuarantineSafeguards} from './plan.js';
 
 /** Options of `createQuarantineController`. */
 export interface QuarantineControllerOptions {
@@ -54,10 +54,10 @@
 
 interface NamedPlan {
   readonly name: string;
-  readonly plan: Plan;
+  readonly plan: QuarantinePlan;
 }
 
-const noRoom: Plan = {kind: 'remove', reason: 'no room'};
+const noRoom: QuarantinePlan = {kind: 'remove', reason: 'no room'};
 
 /** Creates the quarantine controller of a control process. */
 export function createQuarantineController(
@@ -107,7 +107,7 @@
       .map(({instance, incarnation}) => incarnationId(instance, incarnation));
   }
 
-  function planRequest(name: string): Plan {
+  function planRequest(name: string): QuarantinePlan {
     const {services, quarantines} = machine.current();
     const quarantine = quarantines.get(name);
     const record = suspectTable.get(name);
@@ -152,7 +152,7 @@
     isFull = missing > 0;
   }
 
-  function logPlan(name: string, plan: Plan): void {
+  function logPlan(name: string, plan: QuarantinePlan): void {
     if (plan.kind === 'put') {
       log.warn('request quarantined', describe(plan.quarantine));
     } else if (plan.kind === 'remove') {
@@ -210,7 +210,7 @@
   };
 }
 
-function toEdit(name: string, plan: Plan): Edit {
+function toEdit(name: string, plan: QuarantinePlan): Edit {
   if (plan.kind !== 'put') return {action: 'remove', kind: 'quarantine', name};
   return {action: 'put', item: {kind: 'quarantine', value: plan.quarantine}};
 }
