--- a/src/claims/attempt.ts
+++ b/src/claims/attempt.ts
@@ -36,7 +36,7 @@
  * Milliseconds over which gates that compete for a key spread their retries.
  */
 const maxRetryDelay = 20;
-/** Seconds after which a full keeper may have dropped some claims. */
+/** Seconds after which a full keeper may have removed some old claims. */
 const fullRetryAfter = 5;
 
 /** A claim that is being acquired, in one or more attempts. */
--- a/src/claims/fakes/claim-cluster.ts
+++ b/src/claims/fakes/claim-cluster.ts
@@ -49,6 +49,7 @@
   readonly keeper: ClaimKeeper;
 }
 
+/** The gates and keepers of one service. */
 export interface ClaimCluster {
   readonly timers: FakeTimers;
   readonly network: FakeNetwork;
--- a/src/claims/settlement-sender.ts
+++ b/src/claims/settlement-sender.ts
@@ -1,5 +1,6 @@
 /**
- * Sends settlements of claims to keepers until each keeper has confirmed them.
+ * Sends settlements of claims to keepers until each keeper has confirmed them
+ * or the pause between two attempts would exceed its maximum.
  */
 import type {Keeper} from '../configuration/configuration.js';
 import type {Timers} from '../time/timers.js';
@@ -27,7 +28,10 @@
 /** Milliseconds until a settlement is sent again; doubled at each attempt. */
 const minPause = 1000;
 const maxPause = 32_000;
-/** Shorter, as a lost release blocks the key only until the lease ends. */
+/**
+ * Maximum for a release. It is shorter because a lost release blocks the key
+ * only until the lease ends.
+ */
 const maxReleasePause = 2000;
 
 /** Creates a sender of settlements. */
--- a/src/configuration/compression.ts
+++ b/src/configuration/compression.ts
@@ -5,7 +5,7 @@
 const minSize = 1024;
 
 /**
- * Fastest level; it compresses a 425 kB configuration to 38 kB in 3 ms of a
+ * Fastest level; it compresses a 425 kB configuration to 38 kB in 3 ms on one
  * core.
  */
 const level = 1;
--- a/src/configuration/logged-revisions.test.ts
+++ b/src/configuration/logged-revisions.test.ts
@@ -135,8 +135,7 @@
   const document = revision(1, 0).document.replace('/r/1000', '/r/1x00');
   const replacement = {...entry.replacement, document};
   damaged.apply(1, encodeEntry({...entry, replacement}));
-  // The test runner does not accept errors of the error library as native
-  // errors.
+  // `any` is needed because an error of verror is not a native error.
   const error: unknown = t.throws(() => damaged.apply(2, log[1]!), {any: true});
   t.is((error as Failure).code, codes.documentDamaged);
 });
--- a/src/consensus/core.ts
+++ b/src/consensus/core.ts
@@ -26,7 +26,7 @@
 }
 
 /** An input of the core. */
-export type Event =
+export type CoreEvent =
   | {readonly kind: 'tick'}
   | {readonly kind: 'receive'; readonly from: Peer; readonly message: Message}
   /** A process connected and reported the data folder that it runs on. */
@@ -57,7 +57,7 @@
  */
 export interface Core {
   readonly state: Readonly<CoreState>;
-  handle(event: Event, now: number): Action[];
+  handle(event: CoreEvent, now: number): Action[];
   /** Begins to replace a member, or answers why it can't. */
   replace(leaving: string, joining: Voter, now: number): ReplaceOutcome;
 }
@@ -129,7 +129,7 @@
     state.log.reset(snapshot);
   }
 
-  function dispatch(event: Event): void {
+  function dispatch(event: CoreEvent): void {
     switch (event.kind) {
       case 'tick':
         election.tick();
--- a/src/consensus/create-consensus.ts
+++ b/src/consensus/create-consensus.ts
@@ -5,7 +5,7 @@
 import type {Consensus, Member, Status} from './consensus.js';
 import type {Action} from './core-state.js';
 import {createCore} from './core.js';
-import type {Event} from './core.js';
+import type {CoreEvent} from './core.js';
 import {createGroupLinks} from './group-links.js';
 import type {Voter} from './messages.js';
 import {resolveOptions} from './options.js';
@@ -109,7 +109,7 @@
   links.formSingleMemberGroup();
   const ticking = timers.every(Math.max(1, heartbeat / 2), tick);
 
-  function handle(event: Event): void {
+  function handle(event: CoreEvent): void {
     if (stopped !== undefined) return;
     perform(core.handle(event, timers.now()));
     if (event.kind === 'peer-connected') observeMembers();
--- a/src/consensus/fakes/group.ts
+++ b/src/consensus/fakes/group.ts
@@ -209,8 +209,8 @@
 
   async function settled<T>(promise: Promise<T>): Promise<T> {
     let isSettled = false;
-    const mark = () => (isSettled = true);
-    promise.then(mark, mark);
+    const onSettled = () => (isSettled = true);
+    promise.then(onSettled, onSettled);
     await until(() => isSettled);
     return promise;
   }
--- a/src/consensus/faults.test.ts
+++ b/src/consensus/faults.test.ts
@@ -20,7 +20,7 @@
 const recoveryRounds = 10;
 const mutantSeeds = 60;
 
-interface Run {
+interface RunSummary {
   readonly violations: string[];
   readonly accepted: number;
   readonly leaders: number;
@@ -70,7 +70,7 @@
 async function runFaults(
   seed: number,
   safeguards: Partial<Safeguards>,
-): Promise<Run> {
+): Promise<RunSummary> {
   const random = createRandom(seed);
   const group = createTestGroup(size, {
     seed,
@@ -282,7 +282,8 @@
   t.true(replaced > seeds.length);
 });
 
-// The seed at which the search for a violation starts; it only saves time.
+// Safeguards to switch off. The search for a violation starts at `firstSeed`,
+// which only saves time.
 const mutants = [
   {name: 'syncBeforeAnswer', firstSeed: 10},
   {name: 'storageIdentity', firstSeed: 86},
--- a/src/consensus/messages.ts
+++ b/src/consensus/messages.ts
@@ -12,7 +12,7 @@
 }
 
 /** A replacement in progress; it is in the log so that a new leader continues. */
-export interface Replacement {
+export interface MemberReplacement {
   readonly leaving: string;
   readonly joining: string;
 }
@@ -23,7 +23,7 @@
 export interface Membership {
   readonly voters: readonly Voter[];
   readonly learners: readonly Voter[];
-  readonly replacement?: Replacement;
+  readonly replacement?: MemberReplacement;
 }
 
 /** One log entry; index and term together identify it uniquely. */
--- a/src/consensus/peers.ts
+++ b/src/consensus/peers.ts
@@ -96,7 +96,7 @@
     });
   }
 
-  /** Connects at once to a member that was seen while its link is down. */
+  /** Reconnects at once when a member is announced while its link is down. */
   function dialNow(target: OutgoingLink): void {
     if (target.retryTimer === undefined) return;
     target.retryTimer.cancel();
--- a/src/consensus/pending-reads.ts
+++ b/src/consensus/pending-reads.ts
@@ -22,7 +22,8 @@
   readonly settle: (result: Result<number>) => void;
 }
 
-interface Request {
+/** The request in flight, and the reads that its answer settles. */
+interface SentRequest {
   readonly id: number;
   readonly sentAt: number;
   readonly waiters: Waiter[];
@@ -46,7 +47,7 @@
 export function createPendingReads(options: PendingReadsOptions): PendingReads {
   const {timers, resendAfter, timeout, request, appliedIndex} = options;
   let waiting: Waiter[] = [];
-  let sent: Request | undefined;
+  let sent: SentRequest | undefined;
   let confirmed: Array<{index: number; waiters: Waiter[]}> = [];
   let nextId = 1;
 
--- a/src/consensus/replication.ts
+++ b/src/consensus/replication.ts
@@ -196,8 +196,8 @@
 
   /**
    * A leader that receives no answers of a majority may have been replaced
-   * without being notified. It steps down so that its callers look for the
-   * present leader.
+   * without receiving a message of the new leader. It steps down so that its
+   * callers look for the present leader.
    */
   function checkQuorum(): void {
     if (!safeguards.checkQuorum) return;
--- a/src/consensus/storage-identity.test.ts
+++ b/src/consensus/storage-identity.test.ts
@@ -104,7 +104,7 @@
   await other.propose(other.leader()!, 'foreign');
   const group = await startTestGroup(3);
   const leader = group.leader()!;
-  const name = group.names.find(one => one !== leader)!;
+  const name = group.names.find(member => member !== leader)!;
   group.kill(name);
   other.kill(name);
   group.useDisk(name, other.member(name).disk);
--- a/src/consensus/storage-log.test.ts
+++ b/src/consensus/storage-log.test.ts
@@ -76,10 +76,10 @@
   // Nothing follows the last entry, so only a sync mark shows that it was
   // synced. Without the mark it looks like an incomplete write, and an accepted
   // change is lost.
-  const size = 60;
+  const offsetFromEnd = 60;
   const marked = createFakeDisk();
   await writeThree(marked, true);
-  marked.flipBit('log', -size);
+  marked.flipBit('log', -offsetFromEnd);
   await t.throwsAsync(openStorageLog(marked.open()), isDamaged);
 
   const unmarked = createFakeDisk();
--- a/src/consensus/storage-log.ts
+++ b/src/consensus/storage-log.ts
@@ -18,7 +18,10 @@
   readonly lastIndex: number;
   /** Size of the file in bytes. */
   readonly size: number;
-  /** Whether the last sync mark in the file covers all synced entries. */
+  /**
+   * Whether the last sync mark in the file covers all synced entries. Without
+   * such a mark, damage to the last entry looks like an incomplete write.
+   */
   readonly isMarked: boolean;
   /** Writes entries; they are durable only after `sync`. */
   append(entries: readonly Entry[]): Promise<void>;
--- a/src/consensus/storage.ts
+++ b/src/consensus/storage.ts
@@ -28,6 +28,7 @@
   saveVote(vote: Vote): Promise<void>;
   append(entries: readonly Entry[]): Promise<void>;
   sync(): Promise<void>;
+  /** Writes a sync mark to the log file; see `StorageLog`. */
   mark(): Promise<void>;
   cut(index: number): Promise<void>;
   /**
--- a/src/control/member-directory.test.ts
+++ b/src/control/member-directory.test.ts
@@ -19,7 +19,7 @@
   failureDomain: 'hall-a',
 });
 
-function stage() {
+function createTestDirectory() {
   let voters: Member[] = [];
   let reported: Member[] = [];
   const observers: Array<() => void> = [];
@@ -54,7 +54,7 @@
 }
 
 test('before the group is formed the addresses come from the settings', t => {
-  const {directory} = stage();
+  const {directory} = createTestDirectory();
   t.deepEqual(
     directory.peerAddresses(),
     founders.map(member => member.distributionAddress),
@@ -64,14 +64,14 @@
 });
 
 test('the addresses of a member that announced none come from the settings', t => {
-  const {directory, setVoters} = stage();
+  const {directory, setVoters} = createTestDirectory();
   setVoters([1, 2, 3].map(memberOf));
   t.is(directory.operatorAddress('control-3'), '10.0.0.3:7001');
   t.is(directory.peerAddresses().length, 3);
 });
 
 test('the addresses of a member that replaced another are those it announced', t => {
-  const {directory, setVoters, changes} = stage();
+  const {directory, setVoters, changes} = createTestDirectory();
   setVoters([1, 2, 3].map(memberOf));
   const joined = {
     ...memberOf(4),
@@ -90,13 +90,13 @@
 });
 
 test('announced addresses take precedence over the settings', t => {
-  const {directory, setVoters} = stage();
+  const {directory, setVoters} = createTestDirectory();
   setVoters([{...memberOf(1), operatorAddress: '10.0.0.9:7001'}]);
   t.is(directory.operatorAddress('control-1'), '10.0.0.9:7001');
 });
 
 test('observers are not called when nothing has changed', t => {
-  const {directory, setVoters, changes} = stage();
+  const {directory, setVoters, changes} = createTestDirectory();
   setVoters([1, 2, 3].map(memberOf));
   const homes = directory.homes();
   setVoters([1, 2, 3].map(memberOf));
@@ -109,7 +109,7 @@
 // them wait for a majority that it is not part of. Each such call takes a
 // second or more.
 test('a process outside the group names a member, and a member names none', t => {
-  const {directory, setVoters} = stage();
+  const {directory, setVoters} = createTestDirectory();
   const addresses = founders.map(member => member.operatorAddress);
   t.true(addresses.includes(directory.memberAddress()!));
   setVoters([memberOf(2)]);
@@ -137,7 +137,7 @@
 // the group. None of them can confirm a configuration, and without reported
 // members none can name a process that does.
 test('a process outside the group names its members to nodes and operators', t => {
-  const {directory, report, changes} = stage();
+  const {directory, report, changes} = createTestDirectory();
   const member = (number: number): Member => ({
     ...memberOf(number),
     operatorAddress: `10.0.0.${number}:7001`,
--- a/src/disk/fakes/fake-disk.ts
+++ b/src/disk/fakes/fake-disk.ts
@@ -50,7 +50,7 @@
   isLost: boolean;
 }
 
-interface File {
+interface FakeFile {
   durable: Buffer;
   pending: Chunk[];
 }
@@ -58,14 +58,14 @@
 /** Creates a fake disk. */
 export function createFakeDisk(options: FakeDiskOptions = {}): FakeDisk {
   const {timers, syncTime = 0, atomicReplace = true} = options;
-  let files = new Map<string, File>();
+  let files = new Map<string, FakeFile>();
   let incarnation = 0;
   let syncs = 0;
   let isSyncFailing = false;
   let byteLimit = Infinity;
   let interrupted: string | undefined;
 
-  const contentOf = (file: File) =>
+  const contentOf = (file: FakeFile) =>
     Buffer.concat([file.durable, ...file.pending.map(({bytes}) => bytes)]);
 
   function totalBytes(): number {
@@ -83,7 +83,7 @@
     if (totalBytes() + added > byteLimit) throw createError('ENOSPC');
   }
 
-  async function flush(ownIncarnation: number, file: File): Promise<void> {
+  async function flush(ownIncarnation: number, file: FakeFile): Promise<void> {
     if (timers !== undefined && syncTime > 0) {
       await new Promise<void>(done => timers.after(syncTime, done));
     }
@@ -101,7 +101,7 @@
     file.pending = [];
   }
 
-  function fileOf(name: string): File {
+  function fileOf(name: string): FakeFile {
     const found = files.get(name) ?? {durable: Buffer.alloc(0), pending: []};
     files.set(name, found);
     return found;
@@ -148,7 +148,7 @@
     })();
   }
 
-  function createAppender(ownIncarnation: number, file: File): Appender {
+  function createAppender(ownIncarnation: number, file: FakeFile): Appender {
     return new (class extends Appender {
       async append(content: Uint8Array): Promise<void> {
         checkWrite(ownIncarnation, content.length);
