--- a/src/claims/service-claims.ts
+++ b/src/claims/service-claims.ts
@@ -100,7 +100,7 @@
   stop(): void;
   /** Whether this keeper is a member of the newest set that it knows. */
   isMember(): boolean;
-  /** Whether the claims can be removed without breaking a promise. */
+  /** Whether the claims can be removed: no keeper can need them or the seal. */
   isRemovable(): boolean;
   readonly size: number;
 }
@@ -125,10 +125,10 @@
   let latest: KeeperAssignment | undefined;
   /** The last epoch in which this keeper held claims. */
   let activeEpoch = 0;
-  /** The last epoch in which it promised not to vote any more. */
+  /** The last epoch sealed at this keeper; it votes in none up to it. */
   let sealedEpoch = 0;
   let quarantineEnd = 0;
-  /** Time at which it learned that it is no member any more. */
+  /** Time at which this keeper received a set without itself. */
   let leftAt: number | undefined;
   let subscriptions: Subscription[] = [];
 
@@ -240,8 +240,8 @@
     stop: cancelSubscriptions,
     isMember: () => epoch > 0 && leftAt === undefined,
     isRemovable() {
-      // The keeper may have promised not to vote in an epoch whose set it does
-      // not know yet. Without that promise it could become active in it.
+      // The keeper may be sealed in an epoch whose set it does not know yet. If
+      // the seal were removed, it could become active in that epoch.
       if (leftAt === undefined || sealedEpoch > epoch) return false;
       return leftAt + options.retention <= timers.now();
     },
