--- a/src/language/values.ts
+++ b/src/language/values.ts
@@ -86,7 +86,7 @@
   return choice ?? reject(token, listChoices(choices));
 }
 
-/** Reads an IP number and port. */
+/** Reads an IP address and port. */
 export function toAddress(token: IToken): string {
   if (isAddress(token.image)) return token.image;
   return reject(token, 'an IP number and port, such as 127.0.0.1:7000');
--- a/src/log/line-sink.ts
+++ b/src/log/line-sink.ts
@@ -1,8 +1,8 @@
 /**
  * Writes log lines. A reader of standard output that hangs must not block the
  * process: a pipe buffers 64 KB and then blocks the writer. Lines are therefore
- * written from a bounded buffer by a thread of the library. Lines that don't fit
- * into the buffer are dropped and counted.
+ * written asynchronously from a bounded buffer. Lines that don't fit into the
+ * buffer are dropped and counted.
  */
 import sonicBoom from 'sonic-boom';
 import type {Timers} from '../time/timers.js';
--- a/src/log/log.ts
+++ b/src/log/log.ts
@@ -34,7 +34,7 @@
   scope(name: string): Log;
 }
 
-/** Creates the log of a process; each line carries its name `process`. */
+/** Creates the log of a process; each line gives its name as `process`. */
 export function createLog(
   process: string,
   level: Level = 'info',
--- a/src/node/state-changes.ts
+++ b/src/node/state-changes.ts
@@ -11,7 +11,7 @@
 import type {Fields, Log} from '../log/log.js';
 import type {Timers} from '../time/timers.js';
 
-/** Options of `logBeliefs`. */
+/** Options of `logStateChanges`. */
 export interface StateChangesOptions {
   readonly announcer: Pick<Announcer, 'onChange'>;
   readonly endpoints: EndpointView;
--- a/src/operator/client-refusals.ts
+++ b/src/operator/client-refusals.ts
@@ -7,7 +7,9 @@
 
 /** How the client handles refusals and calls without an answer. */
 
-/** Names of refusals that may not recur at another process or later. */
+/**
+ * Names of refusals after which another process or a later attempt may succeed.
+ */
 const retryable: readonly string[] = [
   'not-leader',
   'no-quorum',
--- a/src/operator/limits.test.ts
+++ b/src/operator/limits.test.ts
@@ -33,10 +33,10 @@
   });
 }
 
-// Once a sequence years ahead was evicted from the answer table, the floor
-// would be above all sequences that clients take from their clocks, and no
-// operator could make changes. So such a command is refused before it enters
-// the log.
+// The answer table refuses sequences up to its floor, the highest evicted one.
+// Once a sequence years ahead was evicted, the floor would be above all
+// sequences that clients take from their clocks, and no operator could make
+// changes. So such a command is refused before it enters the log.
 test('a sequence far ahead of the clock is refused', t => {
   const command = (sequence: number) => ({
     operator: 'amina',
--- a/src/operator/messages.ts
+++ b/src/operator/messages.ts
@@ -11,7 +11,7 @@
   readonly effect: Effect;
   readonly message: string;
   /**
-   * The operators' address of the leader, if the request must be sent there.
+   * Address of the leader's operators' API, if the request must be sent there.
    */
   readonly leader?: string;
 }
--- a/src/operator/operator-server.test.ts
+++ b/src/operator/operator-server.test.ts
@@ -75,7 +75,7 @@
 });
 
 // An operator waits for a version that is never reached while the process
-// stops. The wait must not delay the shutdown, and it must still be answered,
+// stops. The wait must not delay the stop, and it must still be answered,
 // since a closed connection would look like a failure.
 test('a graceful shutdown answers pending requests and completes', async t => {
   const {addresses, close} = await deploy(t);
--- a/src/process/process.ts
+++ b/src/process/process.ts
@@ -26,7 +26,7 @@
 
 const seedLimit = 2 ** 31;
 
-/** Creates the resources; without a seed in the settings, the seed is random. */
+/** Creates the resources; a process without a `seed` setting gets a random one. */
 export function createProcess(settings: ProcessSettings): Process {
   const log = createLog(settings.name, settings.logLevel);
   return {
--- a/src/process/stall-watch.ts
+++ b/src/process/stall-watch.ts
@@ -15,12 +15,12 @@
   readonly metrics: Pick<Metrics, 'stalled'>;
 }
 
-/** Milliseconds between two checks; equal to the period of a leader's heartbeat. */
+/** Milliseconds between two checks; the leader's `heartbeat` on the platform. */
 const checkPeriod = 100;
 
 /**
- * Milliseconds of delay that count as a stall: twice the period of the leader's
- * heartbeat, and a third of the timeout after which another leader is elected.
+ * Milliseconds of delay that count as a stall: twice the leader's `heartbeat` and
+ * a third of the `electionTimeout` that the platform's settings give.
  */
 const stallThreshold = 200;
 
--- a/src/result/code.ts
+++ b/src/result/code.ts
@@ -1,6 +1,7 @@
 /**
  * Numbered result codes. Each component defines its codes in its `codes.ts`, within
- * the range given in `table.ts`. A number is never reused for another meaning.
+ * the range given in `src/admin/result-table.ts`. A number is never reused for
+ * another meaning.
  */
 
 /**
--- a/src/time/fakes/fake-timers.ts
+++ b/src/time/fakes/fake-timers.ts
@@ -1,7 +1,7 @@
 import {Timers} from '../timers.js';
 import type {Subscription} from '../timers.js';
 
-interface Entry {
+interface ScheduledTask {
   due: number;
   order: number;
   period: number | undefined;
@@ -26,7 +26,7 @@
 
 /** Creates a timer service that starts at `start` milliseconds. */
 export function createFakeTimers(start = 0): FakeTimers {
-  const entries = new Set<Entry>();
+  const entries = new Set<ScheduledTask>();
   let now = start;
   let order = 0;
 
@@ -36,8 +36,8 @@
     return {cancel: () => void entries.delete(entry)};
   }
 
-  function next(limit: number): Entry | undefined {
-    let first: Entry | undefined;
+  function next(limit: number): ScheduledTask | undefined {
+    let first: ScheduledTask | undefined;
     for (const entry of entries) {
       if (entry.due > limit) continue;
       if (first === undefined || isBefore(entry, first)) first = entry;
@@ -45,7 +45,7 @@
     return first;
   }
 
-  function run(entry: Entry): void {
+  function run(entry: ScheduledTask): void {
     now = Math.max(now, entry.due);
     if (entry.period === undefined) entries.delete(entry);
     else entry.due += entry.period;
@@ -87,7 +87,7 @@
   })();
 }
 
-function isBefore(left: Entry, right: Entry): boolean {
+function isBefore(left: ScheduledTask, right: ScheduledTask): boolean {
   if (left.due !== right.due) return left.due < right.due;
   return left.order < right.order;
 }
