--- a/bench/consensus/messages.ts
+++ b/bench/consensus/messages.ts
@@ -15,7 +15,7 @@
   | {readonly kind: 'read'}
   | {readonly kind: 'get'; readonly name: string}
   | {readonly kind: 'view'}
-  /** Stops the member in a planned way and exits. */
+  /** Stops the member gracefully and exits. */
   | {readonly kind: 'stop'}
   | {
       readonly kind: 'replace';
--- a/bench/consensus/process-group.ts
+++ b/bench/consensus/process-group.ts
@@ -17,7 +17,7 @@
   start(name: string): Promise<void>;
   /** Kills a process with SIGKILL. */
   kill(name: string): Promise<void>;
-  /** Stops a process in a planned way. */
+  /** Stops a process gracefully. */
   stopOne(name: string): Promise<void>;
   /** Sends SIGSTOP or SIGCONT. */
   signal(name: string, signal: 'SIGSTOP' | 'SIGCONT'): void;
--- a/bench/deployment/deployment.ts
+++ b/bench/deployment/deployment.ts
@@ -85,11 +85,15 @@
   const settings = await readAllSettings(options.folder);
   const started = new Map<string, Program>();
 
-  function start(one: Settings): Program {
-    const file = resolve(options.folder, `${one.name}.json`);
-    const command = [...foxbarrowCommand(), one.role, file];
-    const program = startProgram({name: one.name, command, folder: data});
-    started.set(one.name, program);
+  function start(processSettings: Settings): Program {
+    const file = resolve(options.folder, `${processSettings.name}.json`);
+    const command = [...foxbarrowCommand(), processSettings.role, file];
+    const program = startProgram({
+      name: processSettings.name,
+      command,
+      folder: data,
+    });
+    started.set(processSettings.name, program);
     return program;
   }
 
@@ -108,21 +112,26 @@
     return start(settings.find(one => one.name === name)!);
   }
 
-  function startInstance(one: NodeSettings): DeployedInstance {
-    const service = one.name.replace(/-\d+$/, '');
+  function startInstance(nodeSettings: NodeSettings): DeployedInstance {
+    const service = nodeSettings.name.replace(/-\d+$/, '');
     const upstreamAddress =
-      options.upstreamAddress?.() ?? defaultUpstreamAddress(one);
-    const node = start(one);
+      options.upstreamAddress?.() ?? defaultUpstreamAddress(nodeSettings);
+    const node = start(nodeSettings);
     const command = [
       process.execPath,
       resolve('build/bench/upstreams/main.js'),
       ...['--service', service, '--address', upstreamAddress],
-      ...['--announce', one.announceAddress!, '--instance', one.name],
+      ...[
+        '--announce',
+        nodeSettings.announceAddress!,
+        '--instance',
+        nodeSettings.name,
+      ],
       ...['--work', String(options.work)],
       ...(options.crash === undefined ? [] : ['--crash', options.crash]),
     ];
-    const upstream = startUpstream(`upstream of ${one.name}`, command);
-    return {settings: one, service, node, upstream, upstreamAddress};
+    const upstream = startUpstream(`upstream of ${nodeSettings.name}`, command);
+    return {settings: nodeSettings, service, node, upstream, upstreamAddress};
   }
 
   const controls = settings.filter(isControl);
--- a/bench/deployment/setup.ts
+++ b/bench/deployment/setup.ts
@@ -56,7 +56,7 @@
   await waitForVersion(client, Number(version));
   let assignedVersion: number | undefined;
   await until('each service has its keepers assigned', timeout, async () => {
-    assignedVersion = await findKeepers(client, deployment);
+    assignedVersion = await findAssignedVersion(client, deployment);
     return assignedVersion !== undefined;
   });
   await waitForVersion(client, assignedVersion!);
@@ -77,7 +77,7 @@
  * The version in which the keepers of all services are assigned. A node accepts
  * requests with idempotency keys once that version is in force there.
  */
-async function findKeepers(
+async function findAssignedVersion(
   client: OperatorClient,
   deployment: Deployment,
 ): Promise<number | undefined> {
--- a/bench/deployment/small-deployment.ts
+++ b/bench/deployment/small-deployment.ts
@@ -75,14 +75,14 @@
 
 async function writeSettings(
   folder: string,
-  {nextAddress: take}: PortRange,
+  {nextAddress}: PortRange,
   options: SmallDeploymentOptions,
 ): Promise<void> {
   const members = Array.from({length: options.controls}, (_, index) => ({
     name: `control-${index + 1}`,
-    peerAddress: take(),
-    operatorAddress: take(),
-    distributionAddress: take(),
+    peerAddress: nextAddress(),
+    operatorAddress: nextAddress(),
+    distributionAddress: nextAddress(),
     failureDomain: failureDomains[index % failureDomains.length]!,
   }));
   const write = async (settings: SettingsFile) => {
@@ -95,7 +95,7 @@
       ...member,
       region: 'astana',
       dataFolder: `data/${member.name}`,
-      adminAddress: take(),
+      adminAddress: nextAddress(),
       batchWindow: 20,
       members,
       ...options.control,
@@ -103,7 +103,7 @@
   }
   const relays = Array.from({length: options.relays ?? 0}, (_, index) => ({
     name: `relay-${index + 1}`,
-    distributionAddress: take(),
+    distributionAddress: nextAddress(),
     failureDomain: failureDomains[index % failureDomains.length]!,
   }));
   for (const relay of relays) {
@@ -111,7 +111,7 @@
       role: 'relay',
       ...relay,
       region: 'astana',
-      adminAddress: take(),
+      adminAddress: nextAddress(),
       sources: members.map(member => member.distributionAddress),
       relays: relays.map(one => one.distributionAddress),
     });
@@ -124,11 +124,11 @@
         name: `${service.name}-${number}`,
         region: 'astana',
         failureDomain: failureDomains[(number - 1) % failureDomains.length]!,
-        callerAddress: take(),
-        gateAddress: take(),
-        announceAddress: take(),
-        adminAddress: take(),
-        keeperAddress: take(),
+        callerAddress: nextAddress(),
+        gateAddress: nextAddress(),
+        announceAddress: nextAddress(),
+        adminAddress: nextAddress(),
+        keeperAddress: nextAddress(),
         homes: homes.map(home => home.distributionAddress),
         ...options.node,
       });
--- a/bench/distribution/home-process.ts
+++ b/bench/distribution/home-process.ts
@@ -136,19 +136,19 @@
     log,
   });
   const subscriber = createSubscriber({home, timers, random, log});
-  const upstream: DistributorInput = {
+  const input: DistributorInput = {
     source: subscriber.sections,
     barrier: subscriber.barrier,
     asOf: home.asOf,
   };
-  return {home, upstream};
+  return {home, upstream: input};
 }
 
 async function main(): Promise<void> {
   const relay = setup.sources.length > 0 ? createRelay() : undefined;
-  const upstream = relay?.upstream ?? createSource();
+  const input = relay?.upstream ?? createSource();
   const distributor = createDistributor({
-    ...upstream,
+    ...input,
     timers,
     random,
     log,
--- a/bench/experiments/crashing-request.ts
+++ b/bench/experiments/crashing-request.ts
@@ -30,9 +30,9 @@
 /** Results of one run. */
 interface Figures {
   /** Number of crashes. */
-  readonly ends: number;
+  readonly crashes: number;
   /** Crashes later than `detectionLimit` after the third one. */
-  readonly lateEnds: number;
+  readonly lateCrashes: number;
   readonly others: Summary;
 }
 
@@ -41,16 +41,16 @@
   deployment: Deployment,
   isOver: () => boolean,
 ): number[] {
-  const ends: number[] = [];
+  const crashTimes: number[] = [];
   const watch = async (upstream: Program): Promise<void> => {
     const code = await upstream.ended();
     if (code === 0 || upstream.wasKilled()) return;
-    ends.push(Date.now());
+    crashTimes.push(Date.now());
     await pause(downTime);
     if (!isOver()) void watch(deployment.restart(upstream.name));
   };
   for (const {upstream} of deployment.instances) void watch(upstream);
-  return ends;
+  return crashTimes;
 }
 
 async function killNodes(deployment: Deployment, gap: number): Promise<void> {
@@ -93,7 +93,7 @@
   let isOver = false;
   try {
     await setUp(deployment, 'examples/agency/setup.fox');
-    const ends = restartCrashed(deployment, () => isOver);
+    const crashTimes = restartCrashed(deployment, () => isOver);
     const duration = (seconds * 1000) / 2;
     const targets = deployment.instances.map(
       ({settings}) => settings.callerAddress,
@@ -116,9 +116,9 @@
       sendCrashes(targets, duration, createRandom(seed + 1), path),
       killNodes(deployment, duration / (killedNodes + 1)),
     ]);
-    const detectedBy = (ends[2] ?? Infinity) + detectionLimit;
-    const lateEnds = ends.filter(at => at > detectedBy).length;
-    return {ends: ends.length, lateEnds, others};
+    const detectedBy = (crashTimes[2] ?? Infinity) + detectionLimit;
+    const lateCrashes = crashTimes.filter(at => at > detectedBy).length;
+    return {crashes: crashTimes.length, lateCrashes, others};
   } finally {
     isOver = true;
     await deployment.killAll();
@@ -141,12 +141,12 @@
   const other = await measure(options, turn => `/records/${crashWord}-${turn}`);
   return {
     rows: [
-      compare('instances ended', '', same.ends, other.ends),
+      compare('instances ended', '', same.crashes, other.crashes),
       compare(
         'instances ended later than 3 s after the third',
         '',
-        same.lateEnds,
-        other.lateEnds,
+        same.lateCrashes,
+        other.lateCrashes,
       ),
       compare(
         'other lookups served',
--- a/bench/experiments/endpoints-size.ts
+++ b/bench/experiments/endpoints-size.ts
@@ -21,6 +21,7 @@
 const services = 710;
 const calls = 10;
 const restartsPerSecond = 20;
+/** Instances that restart within a second: 1/7 of 6,700. */
 const massRestarts = 957;
 /**
  * Number of idle measurements; the smallest counts, since other load on the
--- a/bench/experiments/request-balance.ts
+++ b/bench/experiments/request-balance.ts
@@ -61,7 +61,7 @@
 const remoteDelay = 1;
 const domains = ['hall-a', 'hall-b', 'hall-c'];
 const loads = [0.7, 0.9];
-/** Simulated milliseconds per point and second of the run option. */
+/** Simulated milliseconds per point for each second of `RunOptions.seconds`. */
 const modelTime = 2_000;
 
 const powerOfTwo: Rule = {
@@ -171,7 +171,7 @@
   );
   const entries = domainsOf(entryCount).map(failureDomain => ({
     failureDomain,
-    peers: createEntryPeers(rule, failureDomain, announcements, timers, random),
+    pool: createEntryPool(rule, failureDomain, announcements, timers, random),
   }));
   const latencies: number[] = [];
   let offered = 0;
@@ -179,19 +179,19 @@
 
   function call(): void {
     const entry = random.pick(entries);
-    const peer = entry.peers.choose('stock-desk', configuration, new Set())!;
-    const {instance, failureDomain} = peer.announcement;
+    const target = entry.pool.choose('stock-desk', configuration, new Set())!;
+    const {instance, failureDomain} = target.announcement;
     const oneWay =
       failureDomain === entry.failureDomain ? localDelay : remoteDelay;
     const startedAt = timers.now();
     const gate = gates.get(instance)!;
     const isFaulty = instance === announcements[0]!.instance;
     offered++;
-    peer.began();
+    target.began();
     const answer = (code: Code | undefined, status: number) =>
       timers.after(oneWay, () => {
-        if (rule.loadAge > 0) peer.updateLoad(gate.load);
-        peer.ended(code, status);
+        if (rule.loadAge > 0) target.updateLoad(gate.load);
+        target.ended(code, status);
         if (code === undefined && status === 200)
           latencies.push(timers.now() - startedAt);
         else lost++;
@@ -227,7 +227,7 @@
   }
   timers.advance(deadline * 2);
   latencies.sort((left, right) => left - right);
-  const sum = latencies.reduce((total, one) => total + one, 0);
+  const sum = latencies.reduce((total, latency) => total + latency, 0);
   return {
     mean: sum / latencies.length,
     p99: latencies[Math.floor(latencies.length * 0.99)]!,
@@ -239,7 +239,7 @@
   return createAdmission({slots, queueLength: 64, clock: timers});
 }
 
-function createEntryPeers(
+function createEntryPool(
   rule: Rule,
   failureDomain: string,
   announcements: readonly Announcement[],
--- a/bench/experiments/request-overload.ts
+++ b/bench/experiments/request-overload.ts
@@ -12,7 +12,10 @@
 import type {Experiment, Outcome, Row, RunOptions} from '../experiment.js';
 import {compare} from '../experiment.js';
 
-/** A queue discipline with its parameters. */
+/**
+ * A queue discipline. `floor` and `reserve` are those of `AdmissionOptions`;
+ * without `byPriority` all work has the same priority.
+ */
 interface Discipline {
   readonly name: string;
   readonly byPriority: boolean;
@@ -40,7 +43,7 @@
   {priority: 'background', share: 0.3, work: 100, deadline: 3000},
 ];
 const loads = [0.5, 0.8, 1, 1.5, 2, 3];
-/** Simulated milliseconds per point and second of the run option. */
+/** Simulated milliseconds per point for each second of `RunOptions.seconds`. */
 const modelTime = 6_000;
 
 const production: Discipline = {
--- a/bench/requests/processes.ts
+++ b/bench/requests/processes.ts
@@ -12,7 +12,7 @@
 
 const program = new URL('./process.js', import.meta.url);
 
-/** Starts a process that runs what the command says. */
+/** Starts a process and sends it its first command. */
 export async function startBenchProcess(
   command: Command,
   execArgv: string[] = ['--expose-gc'],
--- a/bench/upstreams/announcement.ts
+++ b/bench/upstreams/announcement.ts
@@ -13,7 +13,7 @@
   readonly connections: number;
   readonly healthPath: string;
   readonly state: 'warming' | 'serving' | 'draining';
-  /** Wall-clock time of the process start; tells one start from the next. */
+  /** Wall-clock time of the process start; differs after each restart. */
   readonly started: number;
 }
 
--- a/bench/upstreams/upstream.ts
+++ b/bench/upstreams/upstream.ts
@@ -15,7 +15,7 @@
 import {createDelayedValue, createSlots} from './slots.js';
 import type {Overload} from './slots.js';
 
-/** How a stand-in instance behaves. */
+/** Options of createUpstream. */
 export interface UpstreamOptions {
   readonly service: ServiceName;
   readonly instance: string;
@@ -50,7 +50,7 @@
   readonly bytes: Buffer;
 }
 
-/** Work takes 1 + this many times as long at the beginning of a cold start. */
+/** At the start of a cold start, work takes `1 + coldFactor` times as long. */
 const coldFactor = 9;
 const maxStoredFileBytes = 8 * 1024 * 1024;
 const maxStoredFiles = 64;
--- a/model/consensus.pml
+++ b/model/consensus.pml
@@ -353,7 +353,7 @@
 #ifdef MUTANT_COMMIT_OLD_TERM
 #define OWN_TERM(i, k) true
 #else
-/* The entry at k, or a later one on as many storages, is from its own term. */
+/* The entry at k, or a later one as widely stored, is of the leader's term. */
 #define OWN_TERM(i, k) (TERM_OF(AT(i, k)) == term[i])
 #endif
 
@@ -367,7 +367,7 @@
 #endif
 
 /* Steps of one storage. */
-/* A restarted or resigned leader is a leader that is idle until it stands. */
+/* A restarted or resigned leader is modeled as idle until it stands again. */
 #define STAND(i) \
   :: atomic { UP(i) && COUNTS(i, i) && term[i] < TERMS && \
      MAY_START_TERM(i) -> \
--- a/model/meeting.pml
+++ b/model/meeting.pml
@@ -12,7 +12,7 @@
  *
  * Bounds, set by the runner:
  *   LOSSES  members that may be lost, at any time
- *   JOIN    4 may take the place of a lost member
+ *   JOIN    process 4 may replace a lost member
  */
 #ifndef LOSSES
 #define LOSSES 2
--- a/model/run.ts
+++ b/model/run.ts
@@ -88,8 +88,7 @@
   try {
     await build('spin', ['-a', '-o3', ...toFlags(check.bounds), path], folder);
     const flags = [...compilerFlags, `-DMEMLIM=${searchMemory}`];
-    // Only complete searches are long enough to be worth the optimizing
-    // compiler.
+    // `-O2` compiles slower, which only a search of all states makes up for.
     flags.push(check.expected === 'holds' ? '-O2' : '-O1');
     const args = ['-E', '-n', `-m${searchDepth}`];
     await build('gcc', [...flags, '-o', 'pan', 'pan.c'], folder);
--- a/scenarios/chance.test.ts
+++ b/scenarios/chance.test.ts
@@ -10,6 +10,7 @@
 const seeds = 30;
 /** Milliseconds. */
 const waitTimeout = 120_000;
+/** Result code of an accepted change. */
 const accepted = 1000;
 
 function isUpToDate(cluster: Cluster, name: string): boolean {
--- a/scenarios/configuration/drain.feature
+++ b/scenarios/configuration/drain.feature
@@ -1,6 +1,6 @@
 Feature: A drain reaches every node
   An operator drains an instance. Every node must apply the drain, whichever
-  home it uses, also a node that had no connection when it was accepted.
+  home it uses, even if the node was cut off when the drain was accepted.
 
   Scenario: nodes at every home, one of them cut off at that time
     Given control VMs alpha, beta and gamma, led by alpha
--- a/scenarios/configuration/isolated-control-vm.feature
+++ b/scenarios/configuration/isolated-control-vm.feature
@@ -1,7 +1,7 @@
 Feature: An isolated control VM
-  A partition cuts one control VM off, and no connection error tells it so. It
-  must accept no change and serve no linearizable read, and its return must not
-  cause an election.
+  A partition cuts one control VM off without a connection error. It must accept
+  no change and serve no linearizable read, and its return must not cause an
+  election.
 
   Scenario: an isolated leader accepts nothing and steps down
     Given control VMs alpha, beta and gamma, led by alpha
--- a/scenarios/processes/claims.test.ts
+++ b/scenarios/processes/claims.test.ts
@@ -44,11 +44,11 @@
 }
 
 async function issue(
-  place: DeployedInstance,
+  instance: DeployedInstance,
   key: string,
 ): Promise<Reply | undefined> {
   try {
-    return await call(place.settings.callerAddress, '/certificates', {
+    return await call(instance.settings.callerAddress, '/certificates', {
       method: 'POST',
       key,
       tag: key,
@@ -61,8 +61,8 @@
 
 async function runsOf(deployment: Deployment, key: string): Promise<number> {
   let sum = 0;
-  for (const place of crewbooks(deployment)) {
-    const answer = await request(`http://${place.upstreamAddress}/counts`);
+  for (const instance of crewbooks(deployment)) {
+    const answer = await request(`http://${instance.upstreamAddress}/counts`);
     const {runs} = (await answer.body.json()) as {runs: Record<string, number>};
     sum += runs[key] ?? 0;
   }
@@ -91,10 +91,10 @@
     const deployment = await start(t, 3, 8000);
     t.is((await issue(callerNode(deployment), 'cert-1'))?.status, 200);
     const [one, two] = crewbooks(deployment);
-    for (const place of [one!, two!]) {
-      place.node.signal('SIGKILL');
-      await place.node.ended();
-      deployment.restart(place.settings.name);
+    for (const instance of [one!, two!]) {
+      instance.node.signal('SIGKILL');
+      await instance.node.ended();
+      deployment.restart(instance.settings.name);
     }
     const lost = claimCodes.keepersLost.number;
     await issueUntilAnswered(
@@ -119,11 +119,11 @@
   const deployment = await start(t, 4, 900_000);
   const first = await issue(callerNode(deployment), 'cert-3');
   t.is(first?.status, 200);
-  for (const place of crewbooks(deployment)) {
-    t.is(await place.node.stop(), 0);
-    deployment.restart(place.settings.name);
+  for (const instance of crewbooks(deployment)) {
+    t.is(await instance.node.stop(), 0);
+    deployment.restart(instance.settings.name);
     await until('the restarted node serves', waitTimeout, async () => {
-      const address = place.settings.callerAddress;
+      const address = instance.settings.callerAddress;
       const reply = await call(address, '/records/x').catch(() => undefined);
       return reply?.status === 200;
     });
--- a/scenarios/processes/distribution.test.ts
+++ b/scenarios/processes/distribution.test.ts
@@ -50,18 +50,18 @@
 
 const removeRecords: Edit = {action: 'remove', kind: 'route', name: 'records'};
 
-function lookUp(place: DeployedInstance): Promise<Reply | undefined> {
-  const address = place.settings.callerAddress;
+function lookUp(instance: DeployedInstance): Promise<Reply | undefined> {
+  const address = instance.settings.callerAddress;
   return call(address, '/records/crew-1').catch(() => undefined);
 }
 
 /** Waits until a node no longer has the route for lookups. */
-function awaitRemoval(place: DeployedInstance): Promise<void> {
+function awaitRemoval(instance: DeployedInstance): Promise<void> {
   return until(
-    `${place.settings.name} without the route`,
+    `${instance.settings.name} without the route`,
     waitTimeout,
     async () => {
-      const reply = await lookUp(place);
+      const reply = await lookUp(instance);
       return reply?.code === 5001;
     },
   );
@@ -83,27 +83,27 @@
     // is back.
     const deployment = await start(t);
     const [stale, ...others] = deployment.controls;
-    const place = deployment.instances[0]!;
-    t.is((await lookUp(place))?.status, 200);
+    const instance = deployment.instances[0]!;
+    t.is((await lookUp(instance))?.status, 200);
     stale!.signal('SIGSTOP');
     await change(deployment, [1, 2], removeRecords);
-    await awaitRemoval(place);
+    await awaitRemoval(instance);
     for (const other of others) other.signal('SIGSTOP');
-    place.node.signal('SIGKILL');
-    await place.node.ended();
+    instance.node.signal('SIGKILL');
+    await instance.node.ended();
     stale!.signal('SIGCONT');
-    deployment.restart(place.settings.name);
+    deployment.restart(instance.settings.name);
     await until('the restarted node answers', waitTimeout, async () => {
-      return (await lookUp(place)) !== undefined;
+      return (await lookUp(instance)) !== undefined;
     });
     for (let check = 0; check < checks; check++) {
-      const reply = await lookUp(place);
+      const reply = await lookUp(instance);
       t.is(reply?.code, noConfiguration);
       t.is(reply?.effect, 'not-run');
       await pause(200);
     }
     for (const other of others) other.signal('SIGCONT');
-    await awaitRemoval(place);
+    await awaitRemoval(instance);
   },
 );
 
@@ -121,12 +121,12 @@
   },
 };
 
-function awaitReturn(place: DeployedInstance): Promise<void> {
+function awaitReturn(instance: DeployedInstance): Promise<void> {
   return until(
-    `${place.settings.name} with the route`,
+    `${instance.settings.name} with the route`,
     waitTimeout,
     async () => {
-      const reply = await lookUp(place);
+      const reply = await lookUp(instance);
       return reply?.status === 200;
     },
   );
--- a/scenarios/processes/endpoints.test.ts
+++ b/scenarios/processes/endpoints.test.ts
@@ -40,8 +40,8 @@
   return deployment.instances.find(({service}) => service === 'drillvault')!;
 }
 
-async function countBegun(place: DeployedInstance): Promise<number> {
-  const answer = await request(`http://${place.upstreamAddress}/counts`);
+async function countBegun(instance: DeployedInstance): Promise<number> {
+  const answer = await request(`http://${instance.upstreamAddress}/counts`);
   return ((await answer.body.json()) as {begun: number}).begun;
 }
 
@@ -134,8 +134,8 @@
     // for some time. Lookups that reach its gate are refused as not run and
     // retried at other instances; callers must see no failure.
     const deployment = await start(t);
-    const [place] = crewbooks(deployment);
-    place!.upstream.signal('SIGKILL');
+    const [instance] = crewbooks(deployment);
+    instance!.upstream.signal('SIGKILL');
     for (let round = 0; round < 5; round++) {
       t.deepEqual(await lookUp(deployment, lookups), [200]);
     }
--- a/scenarios/processes/requests.test.ts
+++ b/scenarios/processes/requests.test.ts
@@ -50,8 +50,8 @@
   readonly uploads: Readonly<Record<string, string>>;
 }
 
-async function countsOf(place: DeployedInstance): Promise<Counts> {
-  const answer = await request(`http://${place.upstreamAddress}/counts`);
+async function countsOf(instance: DeployedInstance): Promise<Counts> {
+  const answer = await request(`http://${instance.upstreamAddress}/counts`);
   return (await answer.body.json()) as Counts;
 }
 
@@ -61,19 +61,19 @@
 }
 
 async function sendControl(
-  place: DeployedInstance,
+  instance: DeployedInstance,
   command: string,
 ): Promise<void> {
-  const url = `http://${place.upstreamAddress}/control/${command}`;
+  const url = `http://${instance.upstreamAddress}/control/${command}`;
   const answer = await request(url, {method: 'POST'});
   await answer.body.dump();
 }
 
 function issue(
-  place: DeployedInstance,
+  instance: DeployedInstance,
   key: string,
 ): Promise<Reply | undefined> {
-  return call(place.settings.callerAddress, '/certificates', {
+  return call(instance.settings.callerAddress, '/certificates', {
     method: 'POST',
     key,
     tag: key,
@@ -88,8 +88,8 @@
 ): Promise<DeployedInstance> {
   let match: DeployedInstance | undefined;
   await until(`${key} runs`, waitTimeout, async () => {
-    for (const place of crewbooks(deployment)) {
-      if ((await countsOf(place)).runs[key] !== undefined) match = place;
+    for (const instance of crewbooks(deployment)) {
+      if ((await countsOf(instance)).runs[key] !== undefined) match = instance;
     }
     return match !== undefined;
   });
@@ -107,11 +107,11 @@
       ({service}) => service === 'drillvault',
     )!;
     const first = issue(entry, 'cert-1');
-    const place = await findRunning(deployment, 'cert-1');
-    place.node.signal('SIGKILL');
+    const instance = await findRunning(deployment, 'cert-1');
+    instance.node.signal('SIGKILL');
     const reply = await first;
     t.is(reply?.effect, 'unknown');
-    const others = crewbooks(deployment).filter(one => one !== place);
+    const others = crewbooks(deployment).filter(other => other !== instance);
     for (const other of others) {
       const resend = await issue(other, 'cert-1');
       t.is(resend?.effect, 'unknown', JSON.stringify(resend));
@@ -151,9 +151,9 @@
     )!;
     const first = await issue(entry, 'cert-3');
     t.is(first?.status, 200);
-    const place = await findRunning(deployment, 'cert-3');
-    place.node.signal('SIGKILL');
-    await place.node.ended();
+    const instance = await findRunning(deployment, 'cert-3');
+    instance.node.signal('SIGKILL');
+    await instance.node.ended();
     const resend = await issue(entry, 'cert-3');
     t.true(resend?.body.equals(first!.body), JSON.stringify(resend));
     t.is(await runsOf(deployment, 'cert-3'), 1);
@@ -167,8 +167,8 @@
     // answer. The caller must get the effect unknown, and a resend must not
     // run.
     const deployment = await start(t);
-    for (const place of crewbooks(deployment)) {
-      await sendControl(place, 'fault?kind=reset-before-head&count=1');
+    for (const instance of crewbooks(deployment)) {
+      await sendControl(instance, 'fault?kind=reset-before-head&count=1');
     }
     const entry = crewbooks(deployment)[0]!;
     const first = await issue(entry, 'cert-4');
@@ -188,14 +188,14 @@
     ({service}) => service === 'drillvault',
   )!;
   for (const kind of ['cut', 'length', 'reset-after-head']) {
-    for (const place of crewbooks(deployment)) {
-      await sendControl(place, `fault?kind=${kind}&count=1`);
+    for (const instance of crewbooks(deployment)) {
+      await sendControl(instance, `fault?kind=${kind}&count=1`);
     }
     const lookup = call(entry.settings.callerAddress, '/records/crew-1');
     const reply = await lookup.catch(() => undefined);
     t.true(reply === undefined || reply.effect === 'unknown', kind);
-    for (const place of crewbooks(deployment)) {
-      await sendControl(place, 'fault?kind=cut&count=0');
+    for (const instance of crewbooks(deployment)) {
+      await sendControl(instance, 'fault?kind=cut&count=0');
     }
   }
 });
@@ -253,8 +253,11 @@
     const deployment = await start(t);
     for (const control of deployment.controls) control.signal('SIGKILL');
     await Promise.all(deployment.controls.map(control => control.ended()));
-    for (const place of deployment.instances) {
-      const reply = await call(place.settings.callerAddress, '/records/crew-2');
+    for (const instance of deployment.instances) {
+      const reply = await call(
+        instance.settings.callerAddress,
+        '/records/crew-2',
+      );
       t.is(reply.status, 200);
     }
     const [one, two] = crewbooks(deployment);
--- a/scenarios/processes/restart.test.ts
+++ b/scenarios/processes/restart.test.ts
@@ -81,8 +81,8 @@
     ) as [number, number, number];
     const signal = (indexes: readonly number[], name: 'SIGSTOP' | 'SIGCONT') =>
       indexes.forEach(index => deployment.controls[index]!.signal(name));
-    const [place] = deployment.instances;
-    const address = place!.settings.callerAddress;
+    const [instance] = deployment.instances;
+    const address = instance!.settings.callerAddress;
     await until('the route is in force', waitTimeout, async () => {
       return (await lookUp(address))?.status === 200;
     });
@@ -99,16 +99,17 @@
       return answer !== undefined && answer.status !== 200;
     });
 
-    place!.node.signal('SIGKILL');
-    await place!.node.ended();
+    instance!.node.signal('SIGKILL');
+    await instance!.node.ended();
     signal(others, 'SIGSTOP');
     t.teardown(() => signal(others, 'SIGCONT'));
     deployment.restart(deployment.controlSettings[stale]!.name);
-    deployment.restart(place!.settings.name);
+    deployment.restart(instance!.settings.name);
     await until(
       'the node has received data from the stale process',
       waitTimeout,
-      () => hasReceivedBytes(place!.settings.adminAddress).catch(() => false),
+      () =>
+        hasReceivedBytes(instance!.settings.adminAddress).catch(() => false),
     );
     for (let number = 0; number < checks; number++) {
       const answer = await lookUp(address);
