--- a/scenarios/processes/crashing-request.test.ts
+++ b/scenarios/processes/crashing-request.test.ts
@@ -53,11 +53,11 @@
   for (const {upstream, settings} of crewbooks(deployment)) {
     void supervise(settings.name, upstream);
   }
-  const {killAll: end} = deployment;
+  const {killAll} = deployment;
   Object.assign(deployment, {
-    end: () => {
+    killAll: () => {
       isStopped = true;
-      return end();
+      return killAll();
     },
   });
   return {exits: () => exits, running: () => [...running.values()]};
